--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,9 +1,9 @@
 //! NODE_CONFIG and the settings in it: each field is used as it is written, or named with what is allowed.
 
-mod given;
+mod fixtures;
 
 use cloverhollow_platform::config;
-use given::*;
+use fixtures::*;
 use serde_json::json;
 use std::time::Duration;
 
--- a/crates/platform/tests/config_whole.rs
+++ b/crates/platform/tests/config_validation.rs
@@ -1,9 +1,9 @@
 //! NODE_CONFIG as a whole: what contradicts the rest, and its first fault.
 
-mod given;
+mod fixtures;
 
 use cloverhollow_platform::{config, settings};
-use given::*;
+use fixtures::*;
 use serde_json::json;
 
 #[test]
--- a/crates/platform/tests/deployments.rs
+++ b/crates/platform/tests/deployments.rs
@@ -1,9 +1,9 @@
 //! Deployments that nobody fitted the program to: each is read, and driven through the session core with the decision
 //! module. One leaves nothing behind for the next.
 
-mod drawn;
+mod random_deployment;
 
-use drawn::front::Front;
+use random_deployment::front::Front;
 
 const STEPS: usize = 400;
 
--- a/crates/platform/tests/drawn/mod.rs
+++ b/crates/platform/tests/random_deployment/mod.rs
@@ -4,8 +4,8 @@
 use fastrand::Rng;
 use serde_json::{json, Map, Value};
 
+mod checks;
 pub mod front;
-mod looks;
 
 /// A name as a deployment might have it: what the program was never told of.
 fn name(rng: &mut Rng, of: &str, i: usize) -> String {
