--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -1,35 +1,37 @@
-//! When the command channel is asked again: alone soon, and not all session managers of a fleet in one instant.
+//! Delay before the command channel is requested again: short for a single session manager, and spread out for a fleet
+//! that lost the channel at the same moment.
 
 use std::time::Duration;
 
-/// Within so long after a stream that was of use the channel is asked again.
-const FIRST: Duration = Duration::from_millis(200);
-/// Within so long at the most, however often it was asked in vain. What it has to tell counts as told 2 s after a
-/// break.
+/// Upper bound of the delay after a stream that was useful.
+const INITIAL_BOUND: Duration = Duration::from_millis(200);
+/// Upper bound of every delay, however many requests have failed. An update that the channel has available counts as
+/// known to the session manager 2 s after a break, so the delay has to stay well below that.
 pub const MAX_DELAY: Duration = Duration::from_millis(800);
 
-/// Waits with full jitter: each is drawn evenly between nothing and a bound, which doubles for each stream that was of
-/// no use. Hundreds that lost one channel come back spread over the bound.
+/// Exponential back-off with full jitter: each delay is drawn uniformly between zero and a bound, which doubles after
+/// each stream that was not useful. Hundreds of session managers that lost one channel thus return spread over the bound.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    within: Duration,
+    bound: Duration,
     rng: fastrand::Rng,
 }
 
 impl Backoff {
-    /// `seed`: another one at each session manager.
+    /// Creates a back-off at its initial bound. Each session manager needs a different `seed`.
     pub fn new(seed: u64) -> Self {
-        Backoff { within: FIRST, rng: fastrand::Rng::with_seed(seed) }
+        Backoff { bound: INITIAL_BOUND, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// How long to wait after a stream that lasted so long. `useful`: it brought an event that was taken, or another
-    /// address is to be asked from now on.
+    /// Draws the delay after a stream that lasted for `lasted`. `useful` is true if the stream delivered an event that
+    /// was applied, or if the channel's address has changed.
     ///
-    /// Bytes alone are of no use: guards a channel that breaks after each first byte, or that tells the same event
-    /// again and again that can't be taken. One that lasted past the longest wait hurts nobody by being asked anew.
+    /// Received bytes alone do not make a stream useful: a channel may break after the first byte every time, or repeat
+    /// an event that cannot be applied. A stream that lasted longer than [`MAX_DELAY`] resets the bound, as reconnecting
+    /// after it causes little load.
     pub fn next_delay(&mut self, lasted: Duration, useful: bool) -> Duration {
-        let within = if useful || lasted >= MAX_DELAY { FIRST } else { self.within };
-        self.within = (within * 2).min(MAX_DELAY);
-        within.mul_f64(self.rng.f64())
+        let bound = if useful || lasted >= MAX_DELAY { INITIAL_BOUND } else { self.bound };
+        self.bound = (bound * 2).min(MAX_DELAY);
+        bound.mul_f64(self.rng.f64())
     }
 }
--- a/crates/platform/src/channel.rs
+++ b/crates/platform/src/channel.rs
@@ -1,4 +1,4 @@
-//! The command channel: numbered events that change the list of video servers.
+//! Command channel: numbered events that change the list of video servers.
 
 mod directory;
 
@@ -8,10 +8,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// One event, as it was told.
+/// One event of the command channel, as received.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChannelUpdate {
-    /// Its number.
+    /// Sequence number of the event.
     pub cursor: u64,
     nodes: Option<Nodes>,
 }
@@ -34,13 +34,13 @@
     #[serde(default)]
     group: u64,
     status: Status,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     since_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -52,16 +52,16 @@
     Terminated,
 }
 
-/// A server's weight and group may be this at most, so that what is reckoned with them stays a number.
-const MOST_WEIGHT: f64 = 1e9;
-/// See above.
-const MOST_GROUP: u64 = 1 << 40;
+/// Upper bound of a server's weight; keeps sums and products of weights finite.
+const MAX_WEIGHT: f64 = 1e9;
+/// Upper bound of a server's group; keeps arithmetic on groups from overflowing.
+const MAX_GROUP: u64 = 1 << 40;
 
-/// Why an event can't be used. The channel is asked again, from the last one that could.
+/// Reason why an event is rejected. The stream is then requested again from the last event that was applied.
 #[derive(Debug, thiserror::Error)]
-#[allow(missing_docs)] // the messages say it
+#[allow(missing_docs)] // the error messages document the variants
 pub enum ChannelError {
-    #[error("no event: {0}")]
+    #[error("malformed event: {0}")]
     Syntax(String),
     #[error("event {cursor}: {problem}")]
     InvalidUpdate { cursor: u64, problem: String },
@@ -69,41 +69,42 @@
     Gap { cursor: u64, last_cursor: u64 },
     #[error("event {cursor}: more than {MOST_SERVERS} servers")]
     TooManyServers { cursor: u64 },
-    #[error("event {cursor}: the weight of server `{name}` is not over 0 and up to {MOST_WEIGHT}")]
+    #[error("event {cursor}: the weight of server `{name}` is not above 0 and at most {MAX_WEIGHT}")]
     Weight { cursor: u64, name: String },
-    #[error("event {cursor}: the group of server `{name}` is over {MOST_GROUP}")]
+    #[error("event {cursor}: the group of server `{name}` is above {MAX_GROUP}")]
     Group { cursor: u64, name: String },
 }
 
-/// As much of an event as its number.
+/// The sequence number alone, read from an event whose other fields are invalid.
 #[derive(Deserialize)]
-struct Numbered {
+struct CursorOnly {
     cursor: u64,
 }
 
 #[derive(Deserialize)]
-struct Known {
+struct InitialUpdates {
     #[serde(default)]
     cmds: Vec<ChannelUpdate>,
 }
 
 impl ServerDirectory {
-    /// The events that the configuration holds.
+    /// Parses the events that the configuration contains (its field `known`).
     ///
     /// # Errors
-    /// They can't be read.
+    /// The value is malformed.
     pub fn parse_initial(value: Value) -> Result<Vec<ChannelUpdate>, ChannelError> {
-        let known: Known = serde_json::from_value(value).map_err(|e| ChannelError::Syntax(e.to_string()))?;
-        Ok(known.cmds)
+        let initial: InitialUpdates =
+            serde_json::from_value(value).map_err(|e| ChannelError::Syntax(e.to_string()))?;
+        Ok(initial.cmds)
     }
 
-    /// Reads the data of one event of the stream.
+    /// Parses the data of one event of the stream.
     ///
     /// # Errors
-    /// It can't be read.
+    /// The event is malformed.
     pub fn parse_update(data: &str) -> Result<ChannelUpdate, ChannelError> {
         serde_json::from_str(data).map_err(|e| match serde_json::from_str(data) {
-            Ok(Numbered { cursor }) => ChannelError::InvalidUpdate { cursor, problem: e.to_string() },
+            Ok(CursorOnly { cursor }) => ChannelError::InvalidUpdate { cursor, problem: e.to_string() },
             Err(_) => ChannelError::Syntax(e.to_string()),
         })
     }
--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -1,182 +1,189 @@
-//! Which servers the list names, under numbers of this process's own.
+//! The current server list, with a numeric id for each server process.
 
 use super::*;
 use cloverhollow::{ListMode, ServerId};
 use cloverhollow_session::{title_id, ListNews, ServerEntry, WireState};
 use std::collections::{BTreeSet, HashMap};
 
-/// A process of a server: where it listens, and its start as it is told.
+/// Identity of a server process: its listening address and its start time as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Process {
     address: SocketAddr,
     since_ms: u64,
 }
 
-/// What is listed under a name.
+/// The process that is listed under a name, and its id.
 #[derive(Clone, Copy, Debug)]
 struct Listing {
     id: ServerId,
     process: Process,
 }
 
-/// Which servers there are, under numbers of this front's own, and how far the channel was read.
+/// The servers that the command channel lists, with ids local to this front, and the cursor of the last event.
 ///
-/// A number stands for a process. One that leaves the list and comes back, by whichever events, keeps its number: its
-/// sessions and connections may have outlived its absence. Another address is another process, and so is another start
-/// after an absence. Only a start that is told of a server that is listed keeps the number, as a new incarnation.
+/// An id stands for a server process. A process that leaves the list and returns, by whichever kind of event, keeps its
+/// id, because its sessions and connections may have outlasted its absence. A different address is a different process,
+/// and so is a different start time after an absence. A start time that changes while the server stays listed keeps the
+/// id and is reported as a new incarnation.
 #[derive(Debug, Default)]
 pub struct ServerDirectory {
     cursor: u64,
-    begun: bool,
-    next: ServerId,
+    initialized: bool,
+    last_id: ServerId,
     by_name: HashMap<String, Listing>,
-    /// Processes that have left, by their names, until [`ServerDirectory::forget_departed`].
-    left: HashMap<(String, Process), ServerId>,
+    /// Processes that have left the list, by name, until [`ServerDirectory::forget_departed`] drops them.
+    departed: HashMap<(String, Process), ServerId>,
 }
 
 impl ServerDirectory {
-    /// Number of the last event taken in.
+    /// Sequence number of the last event that was applied.
     pub fn cursor(&self) -> u64 {
         self.cursor
     }
 
-    /// Which server bears that name.
+    /// Id of the server that is listed under `name`.
     pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.by_name.get(name).map(|listing| listing.id)
     }
 
-    /// Whether servers that have left are still remembered.
+    /// Returns whether any server that has left the list is still remembered.
     pub fn has_departed(&self) -> bool {
-        !self.left.is_empty()
+        !self.departed.is_empty()
     }
 
-    /// Forgets servers that have left and that nothing `uses` any more: their names must not pile up, and where neither a
-    /// session nor a connection is left nobody can tell one process from another.
-    pub fn forget_departed(&mut self, uses: impl Fn(ServerId) -> bool) {
-        self.left.retain(|_, id| uses(*id));
+    /// Forgets departed servers that are not in use any more, which bounds the number of remembered names.
+    ///
+    /// `in_use` returns whether a session or a connection of the server is left. Without either there is nothing by
+    /// which a returning process could be told from a new one.
+    pub fn forget_departed(&mut self, in_use: impl Fn(ServerId) -> bool) {
+        self.departed.retain(|_, id| in_use(*id));
     }
 
-    /// What all session managers call each server alike: a digest of its name.
+    /// Listed servers with a digest of their names, which is the same at all session managers.
     pub fn name_digests(&self) -> impl Iterator<Item = (ServerId, u64)> + '_ {
         self.by_name.iter().map(|(name, listing)| (listing.id, title_id(name)))
     }
 
-    /// Takes an event in, at the Unix time `unix_ms`; `None` for one that was told before or that says nothing.
+    /// Applies an event at the Unix time `unix_ms`. Returns `None` if the event was applied before or does not concern
+    /// the server list.
     ///
     /// # Errors
-    /// It leaves a gap, or can't be used. Nothing has changed then.
-    pub fn apply(&mut self, told: ChannelUpdate, unix_ms: u64) -> Result<Option<ListNews>, ChannelError> {
-        if self.begun && told.cursor <= self.cursor {
+    /// There is a gap before the event, or the event is invalid. The directory is unchanged then.
+    pub fn apply(&mut self, update: ChannelUpdate, unix_ms: u64) -> Result<Option<ListNews>, ChannelError> {
+        if self.initialized && update.cursor <= self.cursor {
             return Ok(None);
         }
-        let whole = !self.begun || told.nodes.as_ref().is_some_and(|n| n.snapshot);
-        if !whole && told.cursor != self.cursor + 1 {
-            return Err(ChannelError::Gap { cursor: told.cursor, last_cursor: self.cursor });
+        let snapshot = !self.initialized || update.nodes.as_ref().is_some_and(|n| n.snapshot);
+        if !snapshot && update.cursor != self.cursor + 1 {
+            return Err(ChannelError::Gap { cursor: update.cursor, last_cursor: self.cursor });
         }
-        let Some(nodes) = told.nodes else {
-            self.cursor = told.cursor;
+        let Some(nodes) = update.nodes else {
+            self.cursor = update.cursor;
             return Ok(None);
         };
-        self.check(told.cursor, &nodes, whole)?;
-        (self.cursor, self.begun) = (told.cursor, true);
-        // In order: a name that is gone may come again in the same event.
+        self.check(update.cursor, &nodes, snapshot)?;
+        (self.cursor, self.initialized) = (update.cursor, true);
+        // In order, because one event may remove a name and list it again.
         let entries: Vec<_> =
-            nodes.endpoints.into_iter().flat_map(|e| self.entries(e, unix_ms, whole)).collect();
-        if whole {
-            let named: BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
-            let missing = self.by_name.extract_if(|_, listing| !named.contains(&listing.id));
-            self.left.extend(missing.map(|(name, listing)| ((name, listing.process), listing.id)));
+            nodes.endpoints.into_iter().flat_map(|e| self.apply_endpoint(e, unix_ms, snapshot)).collect();
+        if snapshot {
+            let listed: BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
+            let missing = self.by_name.extract_if(|_, listing| !listed.contains(&listing.id));
+            self.departed.extend(missing.map(|(name, listing)| ((name, listing.process), listing.id)));
         }
-        let mode = if whole { ListMode::Whole } else { ListMode::Patch };
+        let mode = if snapshot { ListMode::Whole } else { ListMode::Patch };
         Ok(Some(ListNews { mode, version: self.cursor, entries }))
     }
 
-    /// Whether an event can be used, before anything changes.
-    fn check(&self, cursor: u64, nodes: &Nodes, whole: bool) -> Result<(), ChannelError> {
-        let mut there: BTreeSet<&str> =
-            if whole { BTreeSet::new() } else { self.by_name.keys().map(String::as_str).collect() };
-        for e in &nodes.endpoints {
-            if !(e.weight > 0.0 && e.weight <= MOST_WEIGHT) {
-                return Err(ChannelError::Weight { cursor, name: e.name.clone() });
+    /// Validates an event without changing anything.
+    fn check(&self, cursor: u64, nodes: &Nodes, snapshot: bool) -> Result<(), ChannelError> {
+        let mut listed: BTreeSet<&str> =
+            if snapshot { BTreeSet::new() } else { self.by_name.keys().map(String::as_str).collect() };
+        for endpoint in &nodes.endpoints {
+            if !(endpoint.weight > 0.0 && endpoint.weight <= MAX_WEIGHT) {
+                return Err(ChannelError::Weight { cursor, name: endpoint.name.clone() });
             }
-            if e.group > MOST_GROUP {
-                return Err(ChannelError::Group { cursor, name: e.name.clone() });
+            if endpoint.group > MAX_GROUP {
+                return Err(ChannelError::Group { cursor, name: endpoint.name.clone() });
             }
-            match e.status {
-                Status::Terminated => _ = there.remove(&*e.name),
-                Status::InService | Status::Terminating => _ = there.insert(&e.name),
+            match endpoint.status {
+                Status::Terminated => _ = listed.remove(&*endpoint.name),
+                Status::InService | Status::Terminating => _ = listed.insert(&endpoint.name),
             }
         }
-        if nodes.endpoints.len() > MOST_SERVERS || there.len() > MOST_SERVERS {
+        if nodes.endpoints.len() > MOST_SERVERS || listed.len() > MOST_SERVERS {
             return Err(ChannelError::TooManyServers { cursor });
         }
         Ok(())
     }
 
-    /// What an endpoint of an event says: that another process of its name has left comes first.
-    fn entries(&mut self, e: Endpoint, unix_ms: u64, whole: bool) -> Vec<ServerEntry> {
-        let moved = self.by_name.get(&e.name).filter(|l| l.process.address != e.address).copied();
-        let moved = moved.filter(|_| e.status != Status::Terminated);
-        let former = moved.map(|former| {
-            self.leaves(&e.name);
-            let gone = Endpoint { address: former.process.address, status: Status::Terminated, ..e.clone() };
-            self.entry(former.id, gone, unix_ms, whole)
+    /// List entries for one endpoint of an event. If its name was listed at another address, the removal of that process
+    /// comes first.
+    fn apply_endpoint(&mut self, endpoint: Endpoint, unix_ms: u64, snapshot: bool) -> Vec<ServerEntry> {
+        let moved =
+            self.by_name.get(&endpoint.name).filter(|l| l.process.address != endpoint.address).copied();
+        let moved = moved.filter(|_| endpoint.status != Status::Terminated);
+        let removal = moved.map(|former| {
+            self.remove(&endpoint.name);
+            let removed =
+                Endpoint { address: former.process.address, status: Status::Terminated, ..endpoint.clone() };
+            self.entry(former.id, removed, unix_ms, snapshot)
         });
-        let id = self.id(&e);
-        let told = self.entry(id, e, unix_ms, whole);
-        former.into_iter().chain([told]).collect()
+        let id = self.update_listing(&endpoint);
+        let current = self.entry(id, endpoint, unix_ms, snapshot);
+        removal.into_iter().chain([current]).collect()
     }
 
-    /// The number of the process that an endpoint is about; the listing is brought up to date.
-    fn id(&mut self, e: &Endpoint) -> ServerId {
-        let listed = self.by_name.get(&e.name).map(|l| l.id);
-        if e.status == Status::Terminated {
-            self.leaves(&e.name);
+    /// Updates the listing of an endpoint's name and returns the id of its process.
+    fn update_listing(&mut self, endpoint: &Endpoint) -> ServerId {
+        let listed = self.by_name.get(&endpoint.name).map(|l| l.id);
+        if endpoint.status == Status::Terminated {
+            self.remove(&endpoint.name);
             return listed.unwrap_or_else(|| self.new_id());
         }
-        let process = Process { address: e.address, since_ms: e.since_ms };
-        let back = || self.left.remove(&(e.name.clone(), process));
-        let id = listed.or_else(back).unwrap_or_else(|| self.new_id());
-        self.by_name.insert(e.name.clone(), Listing { id, process });
+        let process = Process { address: endpoint.address, since_ms: endpoint.since_ms };
+        let returning = || self.departed.remove(&(endpoint.name.clone(), process));
+        let id = listed.or_else(returning).unwrap_or_else(|| self.new_id());
+        self.by_name.insert(endpoint.name.clone(), Listing { id, process });
         id
     }
 
     fn new_id(&mut self) -> ServerId {
-        self.next += 1;
-        self.next
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// What is listed under that name leaves the list.
-    fn leaves(&mut self, name: &str) {
+    /// Moves the listing of a name to the departed processes.
+    fn remove(&mut self, name: &str) {
         if let Some((name, listing)) = self.by_name.remove_entry(name) {
-            self.left.insert((name, listing.process), listing.id);
+            self.departed.insert((name, listing.process), listing.id);
         }
     }
 
-    fn entry(&self, id: ServerId, e: Endpoint, unix_ms: u64, whole: bool) -> ServerEntry {
+    fn entry(&self, id: ServerId, endpoint: Endpoint, unix_ms: u64, snapshot: bool) -> ServerEntry {
         let (version, server, name, address, state, since_ms) =
-            (self.cursor, id, &*e.name, e.address, e.status, e.since_ms);
-        if whole {
-            tracing::debug!(version, server, name, %address, ?state, since_ms, "listed");
+            (self.cursor, id, &*endpoint.name, endpoint.address, endpoint.status, endpoint.since_ms);
+        if snapshot {
+            tracing::debug!(version, server, name, %address, ?state, since_ms, "server listed by a snapshot");
         } else {
-            tracing::info!(version, server, name, %address, ?state, since_ms, "the list changes");
+            tracing::info!(version, server, name, %address, ?state, since_ms, "server list changed");
         }
         ServerEntry {
             id,
-            key: Some(title_id(&e.name)),
-            address: e.address,
-            hall: e.zone,
-            kind: e.kind,
-            cell: e.group,
-            weight: e.weight,
-            state: match e.status {
+            key: Some(title_id(&endpoint.name)),
+            address: endpoint.address,
+            hall: endpoint.zone,
+            kind: endpoint.kind,
+            cell: endpoint.group,
+            weight: endpoint.weight,
+            state: match endpoint.status {
                 Status::InService => WireState::Serving,
                 Status::Terminating => WireState::Draining,
                 Status::Terminated => WireState::Gone,
             },
-            // A later start under the same name is another process.
-            incarnation: e.since_ms,
-            started_ms_ago: (e.since_ms > 0).then(|| unix_ms.saturating_sub(e.since_ms)),
+            // A later start time under the same name means another process.
+            incarnation: endpoint.since_ms,
+            started_ms_ago: (endpoint.since_ms > 0).then(|| unix_ms.saturating_sub(endpoint.since_ms)),
         }
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! NODE_CONFIG: what the platform tells a session manager at its start, and again when it changes.
+//! `NODE_CONFIG`: the configuration that the platform gives a session manager at its start, and again when it changes.
 
 use crate::channel::{ChannelUpdate, ServerDirectory};
 use crate::settings::{self, SiteSettings};
@@ -6,15 +6,16 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// What a process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct ResourceLimits {
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
 }
 
+/// The configuration as written, before validation.
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     name: String,
     listen: SocketAddr,
     seed: String,
@@ -27,73 +28,74 @@
     settings: Value,
 }
 
-/// A configuration that was read whole.
+/// A valid configuration.
 #[derive(Debug)]
 pub struct Config {
     /// Name of the instance.
     pub name: String,
-    /// Where viewers connect.
+    /// Address on which viewers connect.
     pub listen: SocketAddr,
-    /// Of the decisions' random numbers.
+    /// Seed of the random numbers that decisions use.
     pub seed: u64,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// Where the command channel is.
+    /// Address of the command channel.
     pub channel: SocketAddr,
-    /// What the command channel has told before the start.
+    /// Events of the command channel up to the start of the process.
     pub initial_updates: Vec<ChannelUpdate>,
-    /// Where the other session managers' datagrams arrive; `None` where the settings allow none.
+    /// Address on which datagrams of other session managers arrive; `None` if the settings do not allow them.
     pub peer_listen: Option<SocketAddr>,
-    /// Where theirs arrive, by their numbers, the own among them.
+    /// Datagram addresses of all session managers, ordered by their index, including this one.
     pub peers: Vec<SocketAddr>,
-    /// The settings.
+    /// Settings of the instance.
     pub site: SiteSettings,
 }
 
-/// Why a configuration can't be used: the field, and what is wrong with it.
+/// Reason why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct ConfigError {
-    /// Which field; `file` for all of it.
+    /// Path of the invalid field; `file` for the file as a whole.
     pub field: String,
-    /// What is wrong, and what is allowed.
+    /// Description of the problem and of the allowed values.
     pub problem: String,
 }
 
-/// Fewest descriptors that a session manager can work with: its own files, and a few connections of each kind.
-const FEWEST_SOCKETS: usize = 64;
+/// Minimum number of file descriptors: the process's own files and a few connections of each kind.
+const MIN_SOCKETS: usize = 64;
 
-/// Reads a configuration.
+/// Parses and validates a configuration.
 ///
 /// # Errors
-/// Its first fault.
+/// The first problem that is found.
 pub fn read(text: &str) -> Result<Config, ConfigError> {
-    let fault = |field: &str, what: String| ConfigError { field: field.to_owned(), problem: what };
+    let error = |field: &str, problem: String| ConfigError { field: field.to_owned(), problem };
     let mut json = serde_json::Deserializer::from_str(text);
-    let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+    let raw: RawConfig = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
-        fault(if matches!(&*path, "." | "?") { "file" } else { &path }, e.inner().to_string())
+        error(if matches!(&*path, "." | "?") { "file" } else { &path }, e.inner().to_string())
     })?;
-    json.end().map_err(|e| fault("file", e.to_string()))?;
-    let hex = raw.seed.bytes().all(|b| b.is_ascii_hexdigit()); // a sign would be read too
+    json.end().map_err(|e| error("file", e.to_string()))?;
+    let hex = raw.seed.bytes().all(|b| b.is_ascii_hexdigit()); // from_str_radix also accepts a sign
     let seed = u64::from_str_radix(&raw.seed, 16).ok().filter(|_| hex);
-    let seed = seed.ok_or_else(|| fault("seed", format!("`{}` is not 1 to 16 hex digits", raw.seed)))?;
-    if raw.limits.sockets < FEWEST_SOCKETS {
-        let what = format!("{} is not {FEWEST_SOCKETS} or more", raw.limits.sockets);
-        return Err(fault("limits.sockets", what));
+    let seed = seed.ok_or_else(|| error("seed", format!("`{}` is not 1 to 16 hex digits", raw.seed)))?;
+    if raw.limits.sockets < MIN_SOCKETS {
+        let problem = format!("{} is not {MIN_SOCKETS} or more", raw.limits.sockets);
+        return Err(error("limits.sockets", problem));
     }
-    let site = settings::read(raw.settings).map_err(|e| fault("settings", e))?;
+    let site = settings::read(raw.settings).map_err(|e| error("settings", e))?;
     let s = &site.settings;
     if s.classes.is_empty() || s.ladder.is_empty() {
-        return Err(fault("settings", "at least one of `grades` and of `domain.level-kb` is needed".into()));
+        return Err(error("settings", "at least one of `grades` and of `domain.level-kb` is needed".into()));
     }
-    let known = ServerDirectory::parse_initial(raw.known).map_err(|e| fault("known", e.to_string()))?;
-    // What the first list is made of has to be usable, as each event is later.
-    let mut list = ServerDirectory::default();
-    for told in &known {
-        list.apply(told.clone(), 0).map_err(|e| fault("known", e.to_string()))?;
+    let initial_updates =
+        ServerDirectory::parse_initial(raw.known).map_err(|e| error("known", e.to_string()))?;
+    // The initial events are checked here in the same way as later ones when they arrive.
+    let mut directory = ServerDirectory::default();
+    for update in &initial_updates {
+        directory.apply(update.clone(), 0).map_err(|e| error("known", e.to_string()))?;
     }
     let (name, listen, limits, channel) = (raw.name, raw.listen, raw.limits, raw.channel);
     let (peer_listen, peers) = (raw.peer_listen.filter(|_| site.peer_datagrams), raw.peers);
-    Ok(Config { name, listen, seed, limits, channel, initial_updates: known, peer_listen, peers, site })
+    Ok(Config { name, listen, seed, limits, channel, initial_updates, peer_listen, peers, site })
 }
--- a/crates/platform/src/early_releases.rs
+++ b/crates/platform/src/early_releases.rs
@@ -1,35 +1,38 @@
-//! Releases of video servers that came before their sessions stand here.
+//! Releases that video servers send before the session is established here.
 //!
-//! A process may write a release on any of its connections. It may overtake the answer to the set-up, which comes on a
-//! connection of its own, and after a restart of the session manager it may come before the session is handed over.
+//! A server process may write a release on any of its connections. The release can overtake the response to the set-up,
+//! which arrives on a connection of its own, and after a restart of the session manager it can arrive before the session
+//! is handed over.
 
 use cloverhollow_session::{AttemptId, Sid};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most of them; past that the oldest is dropped.
+/// Maximum number of stored releases; beyond it the oldest is dropped.
 pub const MAX_EARLY_RELEASES: usize = 4_096;
-/// So long one is kept: as long as sessions are handed over after a start, and longer than any set-up takes.
+/// Time for which a release is stored: as long as sessions are handed over after a start, and longer than any set-up
+/// takes.
 pub const RETENTION: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
-struct Early {
+struct EarlyRelease {
     process: SocketAddr,
-    /// The attempt that was open there; `None`: the session was not known.
+    /// The attempt that was open at the process; `None` if the session was unknown.
     attempt: Option<AttemptId>,
     cause: i64,
-    at: Duration,
+    received: Duration,
 }
 
-/// All that are kept.
+/// Stored early releases, at most one for each session.
 #[derive(Debug, Default)]
 pub struct EarlyReleases {
-    by_session: HashMap<Sid, Early>,
+    by_session: HashMap<Sid, EarlyRelease>,
 }
 
 impl EarlyReleases {
-    /// Keeps one of the process that listens at `process`.
+    /// Stores a release that the process listening at `process` sent. `attempt` is the attempt that was open there, if
+    /// the session was known.
     pub fn insert(
         &mut self,
         now: Duration,
@@ -39,30 +42,32 @@
         cause: i64,
     ) {
         if self.by_session.len() >= MAX_EARLY_RELEASES {
-            self.make_room(now);
+            self.evict(now);
         }
-        self.by_session.insert(sid, Early { process, attempt, cause, at: now });
+        self.by_session.insert(sid, EarlyRelease { process, attempt, cause, received: now });
     }
 
-    fn make_room(&mut self, now: Duration) {
-        self.by_session.retain(|_, early| early.at + RETENTION > now);
+    fn evict(&mut self, now: Duration) {
+        self.by_session.retain(|_, release| release.received + RETENTION > now);
         if self.by_session.len() < MAX_EARLY_RELEASES {
             return;
         }
-        let oldest = self.by_session.iter().min_by_key(|(_, early)| early.at);
+        let oldest = self.by_session.iter().min_by_key(|(_, release)| release.received);
         if let Some(sid) = oldest.map(|(sid, _)| sid.clone()) {
             self.by_session.remove(&sid);
         }
     }
 
-    /// That session stands at that process now: the cause of its release, if that has come.
+    /// Removes the release of a session that is now established at `process`, and returns its cause if that process sent
+    /// it within [`RETENTION`].
     pub fn take(&mut self, now: Duration, sid: &str, process: SocketAddr) -> Option<i64> {
-        let early = self.by_session.remove(sid)?;
-        (early.process == process && early.at + RETENTION > now).then_some(early.cause)
+        let release = self.by_session.remove(sid)?;
+        (release.process == process && release.received + RETENTION > now).then_some(release.cause)
     }
 
-    /// That attempt ended without a session: what was said of its session meanwhile says nothing of another's.
+    /// Drops the releases received during an attempt that ended without a session; they do not apply to the session of a
+    /// later attempt.
     pub fn attempt_ended(&mut self, attempt: AttemptId) {
-        self.by_session.retain(|_, early| early.attempt != Some(attempt));
+        self.by_session.retain(|_, release| release.attempt != Some(attempt));
     }
 }
--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -1,40 +1,42 @@
-//! What session managers tell each other of servers' loads, in datagrams of 256 bytes at most.
+//! Gossip between session managers about the servers' loads, in datagrams of at most 256 bytes.
 //!
-//! A session manager meets some tens of servers out of hundreds, and of the rest it guesses. Every now and then it tells one
-//! other, drawn anew each time, the youngest readings that it has, its own and those that it heard, each so often. What is heard
-//! is one more reading, with its age; no rule rests on it. A datagram that is lost, late, doubled or garbled costs nothing but
-//! its bytes, and a lie is believed for as long as a reading is.
+//! A session manager has sessions at some tens of servers out of hundreds, and can only guess the load of the others.
+//! Periodically it sends the most recent readings that it knows, its own and those it received, to one other session
+//! manager drawn at random; each reading is sent a limited number of times. A received reading is treated as one more
+//! reading with its age, and nothing depends on its arrival. A datagram that is lost, late, duplicated or corrupt
+//! therefore costs only its bytes, and a false reading has an effect only for as long as a true one.
 
 use cloverhollow::{Heard, Report, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest datagram that the platform lets pass.
+/// Maximum length of a datagram between session managers, in bytes, as the platform limits it.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Format, and a check against what was garbled on its way.
-const LEAD: usize = 1 + 2;
-/// Digest of the server, link, uplink, age.
-const ENTRY: usize = 2 + 1 + 1 + 1;
-/// Most readings of one datagram.
-const MOST: usize = (MAX_DATAGRAM_BYTES - LEAD) / ENTRY;
-const FORMAT: u8 = 1;
-/// Grain of an age, ms: an octet holds up to some seconds.
-const GRAIN_MS: u128 = 40;
-/// Link and uplink of one instant come in two lines.
-const ONE_NOTE: Duration = Duration::from_millis(100);
-/// A copy of a datagram that comes so much later looks younger than it is by that: it is no news.
-const LATE: Duration = Duration::from_millis(200);
-/// What stands for a load that was not read.
-const UNREAD: u8 = u8::MAX;
+/// Length of the header in bytes: the format version and a checksum.
+const HEADER_BYTES: usize = 1 + 2;
+/// Length of a reading in bytes: digest of the server's name, load of its link, load of its rack's uplink, age.
+const READING_BYTES: usize = 2 + 1 + 1 + 1;
+/// Maximum number of readings in a datagram.
+const MAX_READINGS: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / READING_BYTES;
+const FORMAT_VERSION: u8 = 1;
+/// Unit of an age on the wire; one byte then holds up to about ten seconds.
+const AGE_UNIT_MS: u128 = 40;
+/// Maximum time between the two lines in which a server reports the loads of its link and of its uplink.
+const SAME_REPORT: Duration = Duration::from_millis(100);
+/// Minimum difference in age of a newer reading. A duplicate of a datagram that arrives late seems younger than it is;
+/// with a delay below this it is not taken for a newer reading.
+const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(200);
+/// Encoding of a load that is unknown.
+const UNKNOWN_LOAD: u8 = u8::MAX;
 
-/// When and how often it is told.
+/// Timing and repetition of gossip.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipConfig {
     /// Time between two datagrams.
     pub interval: Duration,
-    /// One reading is told so often by one session manager.
+    /// Maximum number of times that one session manager sends a reading.
     pub max_sends: u8,
-    /// What is older is not told.
+    /// Age from which on a reading is not sent any more.
     pub max_age: Duration,
 }
 
@@ -45,124 +47,135 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Reading {
     digest: u16,
     link: u8,
     rack: u8,
-    at: Duration,
-    told: u8,
+    /// Time at which the server had this load.
+    taken: Duration,
+    sends: u8,
 }
 
-/// What one session manager knows and has told.
+/// Gossip state of one session manager: the readings it knows, and when the next datagram is due.
 #[derive(Debug)]
 pub struct Gossip {
-    cadence: GossipConfig,
+    config: GossipConfig,
     peers: usize,
-    /// When the next datagram is due; `None`: the first time is not drawn yet.
-    next: Option<Duration>,
+    /// Time at which the next datagram is due; `None` until the first poll draws it.
+    next_send: Option<Duration>,
     rng: fastrand::Rng,
-    /// The last reading of each server; of those that are listed only.
-    known: BTreeMap<ServerId, Known>,
-    /// Which server a digest means; `None`: two have it, and nobody can say which is meant.
-    named: BTreeMap<u16, Option<ServerId>>,
+    /// The most recent reading of each server; listed servers only.
+    readings: BTreeMap<ServerId, Reading>,
+    /// The server of each digest; `None` if two servers share it and it is ambiguous.
+    server_by_digest: BTreeMap<u16, Option<ServerId>>,
     digests: BTreeMap<ServerId, u16>,
 }
 
-fn octet(share: Option<f64>) -> u8 {
-    share.map_or(UNREAD, |s| (s * 100.0).round().clamp(0.0, f64::from(UNREAD - 1)) as u8)
+fn encode_load(share: Option<f64>) -> u8 {
+    share.map_or(UNKNOWN_LOAD, |s| (s * 100.0).round().clamp(0.0, f64::from(UNKNOWN_LOAD - 1)) as u8)
 }
 
-fn share(octet: u8) -> Option<f64> {
-    (octet != UNREAD).then(|| f64::from(octet) / 100.0)
+fn decode_load(byte: u8) -> Option<f64> {
+    (byte != UNKNOWN_LOAD).then(|| f64::from(byte) / 100.0)
 }
 
 impl Gossip {
-    /// `peers`: how many others there are to be told.
-    pub fn new(cadence: GossipConfig, peers: usize, seed: u64) -> Gossip {
+    /// Creates the state of a session manager with `peers` others. `seed` determines the time of the first datagram and
+    /// the recipients.
+    pub fn new(config: GossipConfig, peers: usize, seed: u64) -> Gossip {
         let rng = fastrand::Rng::with_seed(seed);
-        let (known, named, digests) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Gossip { cadence, peers, next: None, rng, known, named, digests }
+        let (readings, server_by_digest, digests) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        Gossip { config, peers, next_send: None, rng, readings, server_by_digest, digests }
     }
 
-    /// The list has changed: the servers that may be spoken of, with what all session managers call them alike.
-    /// Another process of a name has another key: what was read of the one before is not told of it.
+    /// Sets the listed servers, each with a key that is the same at all session managers.
+    ///
+    /// Readings of servers that are not listed any more, or are listed with another key, are dropped.
     pub fn set_servers(&mut self, servers: impl Iterator<Item = (ServerId, u64)>) {
-        self.named.clear();
+        self.server_by_digest.clear();
         for (server, key) in servers {
             let digest = (key ^ (key >> 16) ^ (key >> 32) ^ (key >> 48)) as u16;
-            self.named.entry(digest).and_modify(|s| *s = None).or_insert(Some(server));
+            self.server_by_digest.entry(digest).and_modify(|s| *s = None).or_insert(Some(server));
         }
-        self.digests = self.named.iter().filter_map(|(d, s)| Some(((*s)?, *d))).collect();
+        self.digests = self.server_by_digest.iter().filter_map(|(d, s)| Some(((*s)?, *d))).collect();
         let digests = &self.digests;
-        self.known.retain(|s, k| digests.get(s) == Some(&k.digest));
+        self.readings.retain(|s, r| digests.get(s) == Some(&r.digest));
     }
 
-    /// This session manager read a server's load itself, `at` that time.
-    pub fn record_reading(&mut self, at: Duration, server: ServerId, link: Option<f64>, rack: Option<f64>) {
-        let old = self.known.get(&server).copied();
+    /// Records a load that a server reported to this session manager, as it was at the time `taken`.
+    pub fn record_reading(
+        &mut self,
+        taken: Duration,
+        server: ServerId,
+        link: Option<f64>,
+        rack: Option<f64>,
+    ) {
+        let previous = self.readings.get(&server).copied();
         let Some(digest) = self.digests.get(&server).copied() else { return };
-        // A note tells link and uplink by two lines of one instant.
-        let old = old.filter(|k| at.saturating_sub(k.at) < ONE_NOTE);
-        let link = link.map_or(old.map_or(UNREAD, |k| k.link), |l| octet(Some(l)));
-        let rack = rack.map_or(old.map_or(UNREAD, |k| k.rack), |r| octet(Some(r)));
-        self.known.insert(server, Known { digest, link, rack, at, told: 0 });
+        // A server reports link and uplink in two lines: the second completes the reading of the first.
+        let previous = previous.filter(|r| taken.saturating_sub(r.taken) < SAME_REPORT);
+        let link = link.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.link), |l| encode_load(Some(l)));
+        let rack = rack.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.rack), |l| encode_load(Some(l)));
+        self.readings.insert(server, Reading { digest, link, rack, taken, sends: 0 });
     }
 
-    /// Whom to tell now, by number, and what. To be asked now and then.
+    /// Returns the index of the recipient and the datagram, if one is due. To be called periodically.
     pub fn poll(&mut self, now: Duration) -> Option<(usize, Vec<u8>)> {
-        let every = self.cadence.interval;
-        // All begin at about the same time: each at a moment of its own.
-        let next = *self.next.get_or_insert_with(|| now + every.mul_f64(self.rng.f64()));
-        if self.peers == 0 || now < next {
+        let interval = self.config.interval;
+        // All session managers start at about the same time; the random offset spreads their datagrams.
+        let next_send = *self.next_send.get_or_insert_with(|| now + interval.mul_f64(self.rng.f64()));
+        if self.peers == 0 || now < next_send {
             return None;
         }
-        self.next = Some(now + every);
-        let GossipConfig { max_sends, max_age, .. } = self.cadence;
-        let told = |k: &Known| k.told < max_sends && now.saturating_sub(k.at) < max_age;
-        let mut all: Vec<_> = self.known.iter().filter(|(_, k)| told(k)).map(|(s, k)| (k.at, *s)).collect();
-        all.sort_unstable_by(|a, b| b.cmp(a));
-        if all.is_empty() {
+        self.next_send = Some(now + interval);
+        let GossipConfig { max_sends, max_age, .. } = self.config;
+        let sendable = |r: &Reading| r.sends < max_sends && now.saturating_sub(r.taken) < max_age;
+        let mut newest_first: Vec<_> =
+            self.readings.iter().filter(|(_, r)| sendable(r)).map(|(s, r)| (r.taken, *s)).collect();
+        newest_first.sort_unstable_by(|a, b| b.cmp(a));
+        if newest_first.is_empty() {
             return None;
         }
-        let mut out = vec![FORMAT, 0, 0];
-        for (_, server) in all.into_iter().take(MOST) {
-            let Some(k) = self.known.get_mut(&server) else { continue };
-            k.told += 1;
-            let age = (now.saturating_sub(k.at).as_millis() / GRAIN_MS).min(u8::MAX.into()) as u8;
-            out.extend_from_slice(&k.digest.to_le_bytes());
-            out.extend_from_slice(&[k.link, k.rack, age]);
+        let mut datagram = vec![FORMAT_VERSION, 0, 0];
+        for (_, server) in newest_first.into_iter().take(MAX_READINGS) {
+            let Some(reading) = self.readings.get_mut(&server) else { continue };
+            reading.sends += 1;
+            let age = (now.saturating_sub(reading.taken).as_millis() / AGE_UNIT_MS).min(u8::MAX.into()) as u8;
+            datagram.extend_from_slice(&reading.digest.to_le_bytes());
+            datagram.extend_from_slice(&[reading.link, reading.rack, age]);
         }
-        let check = check(&out[LEAD..]);
-        out[1..LEAD].copy_from_slice(&check);
-        Some((self.rng.usize(..self.peers), out))
+        let checksum = checksum(&datagram[HEADER_BYTES..]);
+        datagram[1..HEADER_BYTES].copy_from_slice(&checksum);
+        Some((self.rng.usize(..self.peers), datagram))
     }
 
-    /// What another told: what is younger than what is known here.
+    /// Handles a datagram from another session manager and returns the readings in it that are newer than those known
+    /// here. An invalid datagram is ignored.
     pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) -> Vec<Heard> {
-        let good = bytes.len() <= MAX_DATAGRAM_BYTES
-            && bytes.len() > LEAD
-            && (bytes.len() - LEAD).is_multiple_of(ENTRY)
-            && bytes[0] == FORMAT
-            && bytes[1..LEAD] == check(&bytes[LEAD..]);
-        let mut out = Vec::new();
-        for e in bytes.get(LEAD..).filter(|_| good).unwrap_or_default().chunks_exact(ENTRY) {
+        let valid = bytes.len() <= MAX_DATAGRAM_BYTES
+            && bytes.len() > HEADER_BYTES
+            && (bytes.len() - HEADER_BYTES).is_multiple_of(READING_BYTES)
+            && bytes[0] == FORMAT_VERSION
+            && bytes[1..HEADER_BYTES] == checksum(&bytes[HEADER_BYTES..]);
+        let mut newer = Vec::new();
+        for e in bytes.get(HEADER_BYTES..).filter(|_| valid).unwrap_or_default().chunks_exact(READING_BYTES) {
             let digest = u16::from_le_bytes([e[0], e[1]]);
-            let Some(Some(server)) = self.named.get(&digest).copied() else { continue };
-            let age = Duration::from_millis((u128::from(e[4]) * GRAIN_MS) as u64);
-            let at = now.saturating_sub(age);
-            if self.known.get(&server).is_some_and(|k| at <= k.at + LATE) {
+            let Some(Some(server)) = self.server_by_digest.get(&digest).copied() else { continue };
+            let age = Duration::from_millis((u128::from(e[4]) * AGE_UNIT_MS) as u64);
+            let taken = now.saturating_sub(age);
+            if self.readings.get(&server).is_some_and(|r| taken <= r.taken + MIN_AGE_DIFFERENCE) {
                 continue;
             }
-            self.known.insert(server, Known { digest, link: e[2], rack: e[3], at, told: 0 });
-            let report = Report { link: share(e[2]), rack: share(e[3]) };
-            out.push(Heard { server, report, age, ..Heard::default() });
+            self.readings.insert(server, Reading { digest, link: e[2], rack: e[3], taken, sends: 0 });
+            let report = Report { link: decode_load(e[2]), rack: decode_load(e[3]) };
+            newer.push(Heard { server, report, age, ..Heard::default() });
         }
-        out
+        newer
     }
 }
 
-fn check(bytes: &[u8]) -> [u8; 2] {
-    // Fletcher's, as RFC 1146 has it.
+fn checksum(bytes: &[u8]) -> [u8; 2] {
+    // Fletcher's checksum (RFC 1146).
     let (mut a, mut b) = (0u16, 0u16);
     for byte in bytes {
         a = (a + u16::from(*byte)) % 255;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The platform's protocol, without any I/O: one more way in and out of the session core.
+//! Protocol of the streaming platform, without I/O.
 //!
-//! Viewers speak [`rtsp`], video servers [`lines`]; [`viewer`] says what a viewer's message asks for. [`config`]
-//! is what a session manager is told at its start, [`settings`] the part of it that the decision module hears,
-//! [`channel`] the events of the command channel as news of the server list.
+//! Viewers connect over RTSP ([`rtsp`], [`viewer`]), video servers over JSON lines ([`lines`], [`server_reports`]).
+//! [`config`] parses the `NODE_CONFIG` file of a session manager, [`settings`] the part of it that the decision
+//! module uses, and [`channel`] turns the events of the command channel into updates of the server list.
+//! [`session_registry`] and [`link_monitor`] track sessions, viewer connections and connections to video servers.
 
 pub mod backoff;
 pub mod channel;
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/lines.rs
@@ -1,16 +1,16 @@
-//! JSON lines between session managers and video servers, as bytes in and out. Strict and bounded.
+//! JSON lines between session managers and video servers: encoding, and strict decoding with a length limit.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Longest line, its line feed included.
+/// Maximum length of a line in bytes, including its line feed.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// What a line is.
+/// Type of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-#[allow(missing_docs)] // the platform's words
+#[allow(missing_docs)] // the variants are the platform's terms
 pub enum Verb {
     Start,
     Pending,
@@ -25,7 +25,7 @@
     Move,
 }
 
-/// The value of a field: text or a number, as text.
+/// Value of a field as text; accepts a JSON string or number.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct FieldValue(pub String);
@@ -35,7 +35,7 @@
         match serde_json::Value::deserialize(d)? {
             serde_json::Value::String(s) => Ok(FieldValue(s)),
             serde_json::Value::Number(n) => Ok(FieldValue(n.to_string())),
-            _ => Err(serde::de::Error::custom("a field that is neither text nor a number")),
+            _ => Err(serde::de::Error::custom("field value is neither a string nor a number")),
         }
     }
 }
@@ -43,24 +43,24 @@
 /// One line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// What it is.
+    /// Type of the line.
     pub verb: Verb,
-    /// The session that it concerns.
+    /// Id of the session that the line concerns.
     #[serde(rename = "tag")]
     pub sid: String,
-    /// Its fields.
+    /// Named fields; which ones depends on the verb.
     #[serde(default, rename = "opts")]
     pub fields: BTreeMap<String, FieldValue>,
-    /// Its cause.
+    /// Numeric cause of a release or result, one of [`cause`].
     #[serde(default, rename = "rc", skip_serializing_if = "Option::is_none")]
     pub cause: Option<i64>,
-    /// Its description.
+    /// Session description (SDP).
     #[serde(default, rename = "blob", skip_serializing_if = "Option::is_none")]
     pub description: Option<String>,
 }
 
 impl Line {
-    /// A line of a session without anything else.
+    /// Creates a line without fields, cause and description.
     pub fn new(verb: Verb, sid: &str) -> Self {
         Line { verb, sid: sid.to_owned(), fields: BTreeMap::new(), cause: None, description: None }
     }
@@ -71,17 +71,17 @@
         self
     }
 
-    /// A release, or a set-up given up, for that cause.
+    /// Creates a line that releases a session or abandons a set-up, for that cause.
     pub fn finish(sid: &str, cause: i64) -> Self {
         Line { cause: Some(cause), ..Line::new(Verb::Finish, sid) }
     }
 
-    /// The value of a field.
+    /// Value of a field; `None` if the line lacks it.
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.get(name).map(|f| f.0.as_str())
+        self.fields.get(name).map(|value| value.0.as_str())
     }
 
-    /// The bytes of the line.
+    /// Encodes the line with its line feed.
     pub fn encode(&self) -> Bytes {
         let mut out = serde_json::to_vec(self).unwrap_or_default();
         out.push(b'\n');
@@ -89,42 +89,42 @@
     }
 }
 
-/// Why bytes are no line. The stream can't be trusted after it.
+/// Reason why bytes are not a valid line. The rest of the stream cannot be trusted then.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[allow(missing_docs)] // the messages say it
+#[allow(missing_docs)] // the error messages document the variants
 pub enum LineError {
-    #[error("a line longer than {MAX_LINE_BYTES} bytes")]
+    #[error("line longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    #[error("no line of the platform: {0}")]
+    #[error("malformed line: {0}")]
     Syntax(String),
 }
 
-/// Takes the first whole line off `buf`; `None`: more bytes are needed. `buf` never has to hold more than
-/// [`MAX_LINE_BYTES`] bytes.
+/// Removes the first complete line from `buf` and decodes it; `None` if more bytes are needed. `buf` never has to hold
+/// more than [`MAX_LINE_BYTES`] bytes.
 ///
 /// # Errors
-/// It is malformed: the stream can't be trusted any more.
+/// The line is too long or malformed. The rest of the stream cannot be trusted then.
 pub fn decode(buf: &mut BytesMut) -> Result<Option<Line>, LineError> {
-    let within = &buf[..buf.len().min(MAX_LINE_BYTES)];
-    let Some(end) = within.iter().position(|b| *b == b'\n') else {
+    let searched = &buf[..buf.len().min(MAX_LINE_BYTES)];
+    let Some(end) = searched.iter().position(|b| *b == b'\n') else {
         return if buf.len() >= MAX_LINE_BYTES { Err(LineError::TooLong) } else { Ok(None) };
     };
     let line = buf.split_to(end + 1);
     serde_json::from_slice(&line).map(Some).map_err(|e| LineError::Syntax(e.to_string()))
 }
 
-/// The causes of the platform's releases.
+/// Numeric causes of releases and of set-ups that end without a session.
 pub mod cause {
-    /// The set-up is given up, or the session has come to its end.
+    /// The set-up is abandoned, or the session has come to its regular end.
     pub const DONE: i64 = 16;
-    /// Moved, or ended by its viewer.
+    /// The session was moved by its server or ended by its viewer.
     pub const CANCELLED: i64 = 31;
-    /// Full: it never ran.
+    /// The server is full; the set-up was not executed.
     pub const FULL: i64 = 34;
-    /// Cut, or the set-up broke on its way.
+    /// The session was cut, or the connection of the set-up broke.
     pub const RESET: i64 = 41;
-    /// An error.
+    /// The set-up failed with an error.
     pub const ERROR: i64 = 47;
-    /// It never left.
+    /// The set-up was never sent, so it was not executed.
     pub const NEVER_SENT: i64 = 102;
 }
--- a/crates/platform/src/link_monitor.rs
+++ b/crates/platform/src/link_monitor.rs
@@ -1,220 +1,236 @@
-//! What is believed of video servers' connections, and what is done about it: which are kept, opened, closed,
-//! and when a server's sessions are taken to be cut.
+//! State of the connections (links) to video servers: which to keep, open and close, and when the sessions at a server
+//! have to be considered lost.
 //!
-//! A connection carries one set-up at a time: what is spoilt on it takes no other along. A set-up goes on one that is
-//! there, idle and lately heard of, else on a new one, which proves before the first byte that nothing ran if it is
-//! not made. The newest one stays for what concerns the sessions that stand; older ones are closed a while after
+//! A link carries one set-up at a time, so that corrupt data on it affects no other set-up. A set-up goes on a link that
+//! is up, idle and recently active, else on a new one: if that cannot be made, it is certain that nothing was executed.
+//! The newest link to a server stays open for messages about established sessions; older ones are closed a while after
 //! their set-up.
 
 use cloverhollow::ServerId;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// A connection to a video server; the shell never uses a number twice.
+/// Id of a connection to a video server. The event loop never reuses one, and ids grow in the order of opening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// A connection that is idle and not the newest stays for so long: what was under way on it arrives.
+/// Time for which an idle link that is not the newest stays open, so that data in flight on it arrives.
 const LINGER: Duration = Duration::from_secs(2);
-/// Wait before a connection is opened again that broke, doubled up to the next.
-const AGAIN: Duration = Duration::from_millis(100);
-const AGAIN_MOST: Duration = Duration::from_millis(800);
-/// A set-up that may take effect once goes only on a connection to a server that was heard of within this time. If the
-/// server fell silent since, it is lost there, where a new connection that does not come up loses nothing. Any other
-/// is repeated when no answer comes. With 3 s, paid set-ups failed on a lost zone for the price of few connections.
-const FRESH_PAID: Duration = Duration::from_secs(1);
-/// Nothing goes on a connection that its server is about to close as idle: after this part of its time for that. One
-/// where nothing stands is closed here then.
-const IDLE_PART: f64 = 0.8;
-/// So many connections refused one after the other: the process is gone, and its sessions with it.
-const REFUSED: u32 = 2;
-/// Nothing came up for so long, and nothing was heard: the machine is gone.
-const UNREACHED: Duration = Duration::from_secs(2);
+/// Delay before the first attempt to replace a lost link; doubles up to [`MAX_RECONNECT_DELAY`].
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(800);
+/// A set-up that may be executed only once goes on an existing link only if the server sent something within this time.
+/// If the server has failed since, such a set-up is lost there, whereas on a new link that cannot be made it is not; all
+/// other set-ups are repeated when no response arrives. With 3 s, set-ups of this kind failed when a zone was lost, and
+/// few connections were saved.
+const MAX_SILENCE_AT_MOST_ONCE: Duration = Duration::from_secs(1);
+/// Part of the server's idle time-out after which a link carries no set-up any more, since the server is about to close
+/// it. Without established sessions it is closed then.
+const IDLE_TIMEOUT_PART: f64 = 0.8;
+/// Number of consecutive refused connections after which the process, and its sessions with it, counts as gone.
+const MAX_REFUSED: u32 = 2;
+/// Time without a successful connection and without a message after which the machine counts as gone.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Use {
-    /// It is being made, or a set-up is open on it.
+enum LinkState {
+    /// Being opened, or carrying a set-up.
     Busy,
-    /// It is there for what concerns standing sessions.
+    /// Up and without a set-up since that time.
     Idle(Duration),
 }
 
-/// How a connection ended, or did not begin.
+/// Reason for which a link ended or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEndReason {
-    /// It was refused: nobody listens there.
+    /// The connection was refused: no process listens at the address.
     Refused,
-    /// It did not come up in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// This process could not make it.
+    /// A local error prevented the connection; nothing is known about the server.
     LocalError,
-    /// It was up, and broke or was closed.
+    /// The link was up, and was reset or closed.
     Disconnected,
-    /// It was up, and ended in what can't be read or in the middle of a line: an answer may be lost with it.
+    /// The link was up, and ended with unreadable data or in the middle of a line: a response may be lost with it.
     Corrupt,
 }
 
 #[derive(Debug, Default)]
-struct Server {
-    links: BTreeMap<LinkId, Use>,
-    /// Something was last heard from it.
-    heard: Duration,
-    /// Connections refused one after the other.
+struct ServerState {
+    links: BTreeMap<LinkId, LinkState>,
+    /// Time of the last message from the server.
+    last_received: Duration,
+    /// Number of consecutive refused connections.
     refused: u32,
-    /// Connections have not come up since then.
-    unreached: Option<Duration>,
-    /// The next connection may be opened then.
-    next: Duration,
-    wait: Duration,
+    /// Time of the first connect time-out since the server was last reached; `None` if there was none.
+    unreachable_since: Option<Duration>,
+    /// Earliest time to open the next link.
+    next_open: Duration,
+    reconnect_delay: Duration,
 }
 
-/// What the shell is to do.
+/// Action for the event loop to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkAction {
-    /// Open a connection without a set-up.
+    /// Open a link to the server without a set-up.
     Open(ServerId),
-    /// Close a connection.
+    /// Close the link.
     Close(LinkId),
-    /// The server's sessions are cut.
+    /// End all sessions at the server: its process or machine is gone.
     EndSessions(ServerId),
 }
 
-/// All servers with connections or standing sessions.
+/// Links to all servers that have links or established sessions.
 #[derive(Debug)]
 pub struct LinkMonitor {
-    servers: HashMap<ServerId, Server>,
-    /// A server with sessions that is silent for so long is looked at by a new connection.
-    silence: Duration,
-    /// A connection that has carried no set-up for so long carries none any more.
-    stale: Duration,
-    /// Most idle connections, over all servers.
-    most_idle: usize,
+    servers: HashMap<ServerId, ServerState>,
+    /// Time without a message after which a server with sessions is probed by a new link.
+    max_silence: Duration,
+    /// Time without a set-up after which a link carries none any more.
+    stale_after: Duration,
+    /// Maximum number of idle links, over all servers.
+    max_idle: usize,
 }
 
 impl LinkMonitor {
-    /// `notes`: a server with standing sessions says something at least so often; zero: it need not. `idle_close`:
-    /// servers close what is idle for so long; zero: not told, and no connection carries a second set-up.
-    pub fn new(notes: Duration, idle_close: Duration, most_idle: usize) -> Self {
-        let silence = if notes.is_zero() { Duration::MAX } else { notes + Duration::from_secs(1) };
-        LinkMonitor { servers: HashMap::new(), silence, stale: idle_close.mul_f64(IDLE_PART), most_idle }
+    /// Creates a monitor without links.
+    ///
+    /// A server with established sessions sends at least one message per `report_interval`; zero if it need not.
+    /// Servers close links that are idle for `idle_close`; zero if unknown, and then no link carries a second set-up.
+    /// `max_idle` bounds the number of idle links over all servers.
+    pub fn new(report_interval: Duration, idle_close: Duration, max_idle: usize) -> Self {
+        let max_silence =
+            if report_interval.is_zero() { Duration::MAX } else { report_interval + Duration::from_secs(1) };
+        LinkMonitor {
+            servers: HashMap::new(),
+            max_silence,
+            stale_after: idle_close.mul_f64(IDLE_TIMEOUT_PART),
+            max_idle,
+        }
     }
 
-    /// The connection there that may carry a set-up, taken for it: the newest of those that are idle and not stale, if
-    /// nothing speaks against the server and, for a paid one, it was heard of lately.
-    pub fn take_for_setup(&mut self, now: Duration, server: ServerId, paid: bool) -> Option<LinkId> {
-        let s = self.servers.get_mut(&server)?;
-        let fresh = !paid || s.heard + FRESH_PAID > now;
-        if !fresh || s.refused > 0 || s.unreached.is_some() {
+    /// Takes a link for a set-up: the newest that is idle and not stale. Returns `None` if there is none, if a recent
+    /// connection to the server has failed, or if the set-up may be executed only once and the server has been silent
+    /// for too long.
+    pub fn take_for_setup(&mut self, now: Duration, server: ServerId, at_most_once: bool) -> Option<LinkId> {
+        let state = self.servers.get_mut(&server)?;
+        let fresh = !at_most_once || state.last_received + MAX_SILENCE_AT_MOST_ONCE > now;
+        if !fresh || state.refused > 0 || state.unreachable_since.is_some() {
             return None;
         }
-        let good = |u: &Use| matches!(u, Use::Idle(since) if *since + self.stale > now);
-        let (link, used) = s.links.iter_mut().rev().find(|(_, u)| good(u))?;
-        *used = Use::Busy;
-        Some(*link)
+        let usable = |l: &LinkState| matches!(l, LinkState::Idle(since) if *since + self.stale_after > now);
+        let (id, link) = state.links.iter_mut().rev().find(|(_, l)| usable(l))?;
+        *link = LinkState::Busy;
+        Some(*id)
     }
 
-    /// A connection is being made; a set-up goes on it, or it looks whether the server is there.
+    /// Adds a link that is being opened, for a set-up or to probe the server.
     pub fn link_opening(&mut self, server: ServerId, link: LinkId) {
-        self.servers.entry(server).or_default().links.insert(link, Use::Busy);
+        self.servers.entry(server).or_default().links.insert(link, LinkState::Busy);
     }
 
-    /// A connection came up.
+    /// Records that a link to the server has been established.
     pub fn link_up(&mut self, now: Duration, server: ServerId) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        (s.refused, s.unreached, s.wait) = (0, None, Duration::ZERO);
-        s.heard = s.heard.max(now);
+        let Some(state) = self.servers.get_mut(&server) else { return };
+        (state.refused, state.unreachable_since, state.reconnect_delay) = (0, None, Duration::ZERO);
+        state.last_received = state.last_received.max(now);
     }
 
-    /// No set-up is open on it any more.
+    /// Records that a link that is up carries no set-up any more.
     pub fn link_idle(&mut self, now: Duration, server: ServerId, link: LinkId) {
         if let Some(l) = self.servers.get_mut(&server).and_then(|s| s.links.get_mut(&link)) {
-            *l = Use::Idle(now);
+            *l = LinkState::Idle(now);
         }
     }
 
-    /// Something was heard on it.
+    /// Records a message from the server.
     pub fn message_received(&mut self, now: Duration, server: ServerId) {
-        if let Some(s) = self.servers.get_mut(&server) {
-            (s.heard, s.refused, s.unreached) = (now, 0, None);
+        if let Some(state) = self.servers.get_mut(&server) {
+            (state.last_received, state.refused, state.unreachable_since) = (now, 0, None);
         }
     }
 
-    /// A connection is being closed here.
+    /// Removes a link that is being closed from this side.
     pub fn link_closing(&mut self, server: ServerId, link: LinkId) {
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.links.remove(&link);
+        if let Some(state) = self.servers.get_mut(&server) {
+            state.links.remove(&link);
         }
     }
 
-    /// A connection is gone or did not come up.
-    pub fn link_down(&mut self, now: Duration, server: ServerId, link: LinkId, down: LinkEndReason) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        if s.links.remove(&link).is_none() {
+    /// Removes a link that has ended or could not be opened.
+    pub fn link_down(&mut self, now: Duration, server: ServerId, link: LinkId, reason: LinkEndReason) {
+        let Some(state) = self.servers.get_mut(&server) else { return };
+        if state.links.remove(&link).is_none() {
             return;
         }
-        match down {
-            LinkEndReason::Refused => s.refused += 1,
+        match reason {
+            LinkEndReason::Refused => state.refused += 1,
             LinkEndReason::ConnectTimeout => {
-                s.unreached.get_or_insert(now);
+                state.unreachable_since.get_or_insert(now);
             }
             LinkEndReason::LocalError | LinkEndReason::Disconnected | LinkEndReason::Corrupt => {}
         }
-        s.wait = (s.wait * 2).clamp(AGAIN, AGAIN_MOST);
-        s.next = now + s.wait;
+        state.reconnect_delay = (state.reconnect_delay * 2).clamp(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY);
+        state.next_open = now + state.reconnect_delay;
     }
 
-    /// A link that may carry a line: the newest that is up and idle.
+    /// The link on which a message to the server may be written: the newest that is up and idle.
     pub fn idle_link(&self, server: ServerId) -> Option<LinkId> {
         let links = &self.servers.get(&server)?.links;
-        links.iter().rev().find(|(_, u)| matches!(u, Use::Idle(_))).map(|(id, _)| *id)
+        links.iter().rev().find(|(_, l)| matches!(l, LinkState::Idle(_))).map(|(id, _)| *id)
     }
 
-    /// Sessions stand at that server from now on.
+    /// Records that a session has been established at the server.
     pub fn session_established(&mut self, now: Duration, server: ServerId) {
-        let s = self.servers.entry(server).or_default();
-        if s.heard.is_zero() {
-            s.heard = now;
+        let state = self.servers.entry(server).or_default();
+        if state.last_received.is_zero() {
+            state.last_received = now;
         }
     }
 
-    /// What is due. `stands`: whether sessions stand at a server, or lines wait for it.
-    pub fn poll(&mut self, now: Duration, stands: impl Fn(ServerId) -> bool) -> Vec<LinkAction> {
-        let mut acts = Vec::new();
+    /// Returns the actions that are due. `in_use` returns whether sessions are established at a server or messages wait
+    /// to be written to it.
+    pub fn poll(&mut self, now: Duration, in_use: impl Fn(ServerId) -> bool) -> Vec<LinkAction> {
+        let mut actions = Vec::new();
         let mut idle = Vec::new();
-        for (id, s) in &mut self.servers {
-            let stands = stands(*id);
-            let newest = s.links.iter().rev().find(|(_, u)| matches!(u, Use::Idle(_))).map(|(l, _)| *l);
-            for (link, used) in &s.links {
-                let Use::Idle(since) = used else { continue };
-                let keep = match newest {
-                    Some(n) if n == *link && stands => Duration::MAX,
-                    Some(n) if n == *link => self.stale,
+        for (id, state) in &mut self.servers {
+            let in_use = in_use(*id);
+            let newest =
+                state.links.iter().rev().find(|(_, l)| matches!(l, LinkState::Idle(_))).map(|(l, _)| *l);
+            for (link, link_state) in &state.links {
+                let LinkState::Idle(since) = link_state else { continue };
+                let max_idle_time = match newest {
+                    Some(n) if n == *link && in_use => Duration::MAX,
+                    Some(n) if n == *link => self.stale_after,
                     _ => LINGER,
                 };
-                if since.saturating_add(keep) <= now {
-                    acts.push(LinkAction::Close(*link));
-                } else if !(stands && newest == Some(*link)) {
+                if since.saturating_add(max_idle_time) <= now {
+                    actions.push(LinkAction::Close(*link));
+                } else if !(in_use && newest == Some(*link)) {
                     idle.push((*since, *link));
                 }
             }
-            if !stands {
+            if !in_use {
                 continue;
             }
-            let unreached = s.unreached.is_some_and(|t| t + UNREACHED <= now && s.heard < t);
-            if s.refused >= REFUSED || unreached {
-                acts.push(LinkAction::EndSessions(*id));
+            let unreachable = state
+                .unreachable_since
+                .is_some_and(|t| t + UNREACHABLE_TIMEOUT <= now && state.last_received < t);
+            if state.refused >= MAX_REFUSED || unreachable {
+                actions.push(LinkAction::EndSessions(*id));
                 continue;
             }
-            let busy = s.links.values().any(|u| *u == Use::Busy);
-            let silent = s.heard.saturating_add(self.silence) <= now || s.unreached.is_some();
-            if (newest.is_none() || silent) && !busy && s.next <= now {
-                acts.push(LinkAction::Open(*id));
+            let busy = state.links.values().any(|l| *l == LinkState::Busy);
+            let silent = state.last_received.saturating_add(self.max_silence) <= now
+                || state.unreachable_since.is_some();
+            if (newest.is_none() || silent) && !busy && state.next_open <= now {
+                actions.push(LinkAction::Open(*id));
             }
         }
         idle.sort();
-        let over = idle.len().saturating_sub(self.most_idle);
-        acts.extend(idle.into_iter().take(over).map(|(_, link)| LinkAction::Close(link)));
-        self.servers.retain(|id, s| !s.links.is_empty() || stands(*id));
-        acts
+        let excess = idle.len().saturating_sub(self.max_idle);
+        actions.extend(idle.into_iter().take(excess).map(|(_, link)| LinkAction::Close(link)));
+        self.servers.retain(|id, state| !state.links.is_empty() || in_use(*id));
+        actions
     }
 }
--- a/crates/platform/src/rtsp.rs
+++ b/crates/platform/src/rtsp.rs
@@ -1,44 +1,44 @@
-//! RTSP messages (RFC 2326, as far as the platform uses it) as bytes in and out. Strict and bounded.
+//! RTSP messages (the subset of RFC 2326 that the platform uses): encoding, and strict decoding with length limits.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 
-/// Longest message, head and description together.
+/// Maximum length of a message in bytes, headers and body together.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// Most header lines of a message.
-const MOST_HEADERS: usize = 64;
+/// Maximum number of header lines in a message.
+const MAX_HEADERS: usize = 64;
 
-/// What a message asks for or answers.
+/// First line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
-    /// A request.
+    /// Request line.
     Request {
-        /// Its method.
+        /// Request method.
         method: Method,
-        /// Its address.
+        /// Request URI.
         uri: String,
     },
-    /// An answer.
+    /// Status line.
     Response {
-        /// Its status.
+        /// Status code.
         status: u16,
     },
 }
 
-/// The methods that the platform uses.
+/// Request methods that the platform uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// A set-up.
+    /// Sets a session up.
     Setup,
-    /// It is given up, or a session released.
+    /// Abandons a set-up or releases a session.
     Teardown,
-    /// A test.
+    /// Pings the other side.
     Options,
-    /// A note.
+    /// Reports about a session; needs no response.
     Announce,
-    /// A move.
+    /// Moves a session to another server.
     Redirect,
-    /// A new rung.
+    /// Changes the rung of a session.
     SetParameter,
 }
 
@@ -52,25 +52,25 @@
         ("SET_PARAMETER", Method::SetParameter),
     ];
 
-    /// Its name on the wire.
+    /// Name of the method on the wire.
     pub fn name(self) -> &'static str {
         Self::NAMES.iter().find(|(_, m)| *m == self).map_or("", |(name, _)| name)
     }
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its first line.
+    /// Request line or status line.
     pub start_line: StartLine,
-    /// Its header lines, in order.
+    /// Names and values of the headers, in order.
     pub headers: Vec<(String, String)>,
-    /// Its description.
+    /// Message body; a session description where there is one.
     pub body: Bytes,
 }
 
 impl Message {
-    /// The value of a header. One that comes twice is none: nobody can tell which is meant.
+    /// Value of a header. `None` if it is absent, or ambiguous because it occurs more than once.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut found = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
         let (_, value) = found.next()?;
@@ -78,81 +78,81 @@
     }
 }
 
-/// What can be told of a message that cannot be read, so that the refusal reaches whoever sent it.
+/// Headers of a rejected message that an error response repeats, as far as they could be read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplyTarget {
-    /// Its `CSeq`.
+    /// Value of `CSeq`.
     pub cseq: Option<String>,
-    /// Its `Session`.
+    /// Value of `Session`.
     pub session: Option<String>,
 }
 
-/// Why bytes are no message. The stream can't be trusted after it.
+/// Reason why bytes are not a valid message. The rest of the stream cannot be trusted then.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[allow(missing_docs)] // the messages say it
+#[allow(missing_docs)] // the error messages document the variants
 pub enum Error {
-    #[error("longer than {MAX_MESSAGE_BYTES} bytes")]
+    #[error("message longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong(ReplyTarget),
     #[error("{problem}")]
     Syntax { problem: &'static str, reply_to: ReplyTarget },
 }
 
 impl Error {
-    /// Whom to answer.
+    /// Headers for the error response.
     pub fn reply_target(&self) -> &ReplyTarget {
         match self {
-            Error::TooLong(to) | Error::Syntax { reply_to: to, .. } => to,
+            Error::TooLong(reply_to) | Error::Syntax { reply_to, .. } => reply_to,
         }
     }
 }
 
-/// Takes the first whole message off `buf`; `None`: more bytes are needed. `buf` never has to hold more than
-/// [`MAX_MESSAGE_BYTES`] bytes.
+/// Removes the first complete message from `buf` and decodes it; `None` if more bytes are needed. `buf` never has to
+/// hold more than [`MAX_MESSAGE_BYTES`] bytes.
 ///
 /// # Errors
-/// It is malformed: the stream can't be trusted any more.
+/// The message is too long or malformed. The rest of the stream cannot be trusted then.
 pub fn decode(buf: &mut BytesMut) -> Result<Option<Message>, Error> {
-    // Blank lines ahead of a message are passed over (RFC 2326, section 4.1).
+    // Blank lines ahead of a message are skipped (RFC 2326, section 4.1).
     while let [b'\r' | b'\n', ..] = buf[..] {
         buf.advance(1);
     }
     let Some(head) = head_end(buf) else {
-        let cut = buf.len() > MAX_MESSAGE_BYTES;
-        // What can't begin a message is refused at once: more bytes can't mend it.
-        if cut || !may_begin(buf) {
-            let what = "no RTSP message";
-            let to = ReplyTarget::default();
-            return Err(if cut { Error::TooLong(to) } else { Error::Syntax { problem: what, reply_to: to } });
+        let full = buf.len() > MAX_MESSAGE_BYTES;
+        // Bytes that cannot begin a message are rejected before its head is complete.
+        if full || !is_message_prefix(buf) {
+            let problem = "not an RTSP message";
+            let reply_to = ReplyTarget::default();
+            return Err(if full { Error::TooLong(reply_to) } else { Error::Syntax { problem, reply_to } });
         }
         return Ok(None);
     };
     let text = std::str::from_utf8(&buf[..head]);
-    let text = text.map_err(|_| fault("a head that is no UTF-8", &[]))?;
+    let text = text.map_err(|_| malformed("message head is not valid UTF-8", &[]))?;
     let mut lines = text.split('\n').map(|l| l.strip_suffix('\r').unwrap_or(l));
     let first = lines.next().unwrap_or_default();
     let mut headers = Vec::new();
     for line in lines.filter(|l| !l.is_empty()) {
         let Some((name, value)) = line.split_once(':').filter(|(n, _)| is_token(n)) else {
-            return Err(fault("a header line without a name", &headers));
+            return Err(malformed("header line without a valid name", &headers));
         };
         headers.push((name.to_owned(), value.trim().to_owned()));
-        if headers.len() > MOST_HEADERS {
-            return Err(fault("too many header lines", &headers));
+        if headers.len() > MAX_HEADERS {
+            return Err(malformed("too many header lines", &headers));
         }
     }
-    let Some(start) = start(first) else { return Err(fault("a first line that can't be read", &headers)) };
-    let length = length(&headers)?;
+    let Some(start_line) = start_line(first) else { return Err(malformed("malformed start line", &headers)) };
+    let length = content_length(&headers)?;
     if head + length > MAX_MESSAGE_BYTES {
-        return Err(Error::TooLong(addressee(&headers)));
+        return Err(Error::TooLong(reply_target(&headers)));
     }
     if buf.len() < head + length {
         return Ok(None);
     }
     let body = buf.split_to(head + length).freeze().slice(head..);
-    Ok(Some(Message { start_line: start, headers, body }))
+    Ok(Some(Message { start_line, headers, body }))
 }
 
-fn addressee(headers: &[(String, String)]) -> ReplyTarget {
+fn reply_target(headers: &[(String, String)]) -> ReplyTarget {
     let get = |name: &str| {
         let found = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
         found.map(|(_, v)| v.clone()).filter(|v| v.len() <= 64 && v.bytes().all(|b| b.is_ascii_graphic()))
@@ -160,26 +160,26 @@
     ReplyTarget { cseq: get("CSeq"), session: get("Session") }
 }
 
-fn fault(what: &'static str, headers: &[(String, String)]) -> Error {
-    Error::Syntax { problem: what, reply_to: addressee(headers) }
+fn malformed(problem: &'static str, headers: &[(String, String)]) -> Error {
+    Error::Syntax { problem, reply_to: reply_target(headers) }
 }
 
+/// Length of the start line and headers with the blank line after them; `None` if that has not arrived.
 fn head_end(buf: &[u8]) -> Option<usize> {
-    let within = &buf[..buf.len().min(MAX_MESSAGE_BYTES)];
-    let mut at = 0;
-    while let Some(n) = within[at..].iter().position(|b| *b == b'\n') {
-        at += n + 1;
-        match within[at..] {
-            [b'\n', ..] => return Some(at + 1),
-            [b'\r', b'\n', ..] => return Some(at + 2),
+    let searched = &buf[..buf.len().min(MAX_MESSAGE_BYTES)];
+    let mut pos = 0;
+    while let Some(n) = searched[pos..].iter().position(|b| *b == b'\n') {
+        pos += n + 1;
+        match searched[pos..] {
+            [b'\n', ..] => return Some(pos + 1),
+            [b'\r', b'\n', ..] => return Some(pos + 2),
             _ => {}
         }
     }
     None
 }
 
-/// Whether a message may begin like this.
-fn may_begin(buf: &[u8]) -> bool {
+fn is_message_prefix(buf: &[u8]) -> bool {
     let begins = |name: &[u8]| {
         let n = name.len().min(buf.len());
         buf[..n] == name[..n]
@@ -187,7 +187,7 @@
     begins(b"RTSP/1.0 ") || Method::NAMES.iter().any(|(name, _)| begins(format!("{name} ").as_bytes()))
 }
 
-fn start(line: &str) -> Option<StartLine> {
+fn start_line(line: &str) -> Option<StartLine> {
     let mut words = line.splitn(3, ' ');
     let (first, second) = (words.next()?, words.next()?);
     let third = words.next();
@@ -200,16 +200,16 @@
         .then(|| StartLine::Request { method, uri: second.to_owned() })
 }
 
-fn length(headers: &[(String, String)]) -> Result<usize, Error> {
+fn content_length(headers: &[(String, String)]) -> Result<usize, Error> {
     let mut found = headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("Content-Length"));
-    let Some((_, value)) = found.next() else { return Err(fault("no Content-Length", headers)) };
+    let Some((_, value)) = found.next() else { return Err(malformed("no Content-Length", headers)) };
     if found.next().is_some() {
-        return Err(fault("Content-Length twice", headers));
+        return Err(malformed("more than one Content-Length", headers));
     }
     if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(fault("a Content-Length that is no number", headers));
+        return Err(malformed("Content-Length is not a number", headers));
     }
-    // More digits than a number holds are a huge one.
+    // A number that overflows `usize` counts as a length above the limit.
     Ok(value.parse().unwrap_or(usize::MAX / 2))
 }
 
@@ -217,7 +217,7 @@
     !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
 }
 
-/// Puts an answer together.
+/// Encodes a response.
 pub fn response(
     status: u16,
     cseq: &str,
@@ -236,15 +236,15 @@
         504 => "Gateway Timeout",
         _ => "Error",
     };
-    message(&format!("RTSP/1.0 {status} {reason}"), cseq, session, headers, body)
+    encode(&format!("RTSP/1.0 {status} {reason}"), cseq, session, headers, body)
 }
 
-/// Puts a request together.
+/// Encodes a request without a body.
 pub fn request(method: Method, uri: &str, cseq: &str, session: &str, headers: &[(&str, String)]) -> Bytes {
     request_with_body(method, uri, cseq, session, headers, b"")
 }
 
-/// Puts a request with a description together.
+/// Encodes a request with a body.
 pub fn request_with_body(
     method: Method,
     uri: &str,
@@ -253,11 +253,11 @@
     headers: &[(&str, String)],
     body: &[u8],
 ) -> Bytes {
-    message(&format!("{} {uri} RTSP/1.0", method.name()), cseq, Some(session), headers, body)
+    encode(&format!("{} {uri} RTSP/1.0", method.name()), cseq, Some(session), headers, body)
 }
 
-fn message(first: &str, cseq: &str, session: Option<&str>, headers: &[(&str, String)], body: &[u8]) -> Bytes {
-    let mut head = format!("{first}\r\nCSeq: {cseq}\r\n");
+fn encode(start: &str, cseq: &str, session: Option<&str>, headers: &[(&str, String)], body: &[u8]) -> Bytes {
+    let mut head = format!("{start}\r\nCSeq: {cseq}\r\n");
     if let Some(session) = session {
         let _ = write!(head, "Session: {session}\r\n");
     }
--- a/crates/platform/src/server_reports.rs
+++ b/crates/platform/src/server_reports.rs
@@ -1,25 +1,27 @@
-//! What a video server's line tells of its load and of a session, in the core's words and units: shares, 1 being all.
+//! Reports of video servers about their load and about playing sessions, parsed from JSON lines.
+//!
+//! Loads are shares of capacity, 1 being full.
 
 use crate::lines::Line;
 use cloverhollow::Note;
 use cloverhollow_session::Load;
 
-/// The report that a line carries.
+/// Parses the load report in a line; values that are absent or invalid are `None`.
 pub fn load_report(line: &Line) -> Load {
-    let mut out = Load::default();
+    let mut report = Load::default();
     for part in line.field("load").unwrap_or_default().split(';') {
         let Some((name, value)) = part.split_once(':') else { continue };
         let value = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
         match name {
-            "x0" | "load_share" => out.link = value,
-            "x1" => out.rack = value,
+            "x0" | "load_share" => report.link = value,
+            "x1" => report.rack = value,
             _ => {}
         }
     }
-    out
+    report
 }
 
-/// What a note says.
+/// Parses a report about a playing session; `None` if it is of an unknown kind or its value is invalid.
 pub fn session_report(line: &Line) -> Option<Note> {
     let value: f64 = line.field("value")?.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match line.field("note")? {
--- a/crates/platform/src/session_registry/connections.rs
+++ b/crates/platform/src/session_registry/connections.rs
@@ -1,76 +1,81 @@
-//! Connections of viewers: which are there, which is to go where there are too many.
+//! Connections of viewers, and which one to close when there are too many.
 
 use super::*;
 
-/// A connection that has said nothing for so long since it came up is a silent one.
-const SPEAKS: Duration = Duration::from_millis(250);
+/// Time after which a connection on which no message has arrived counts as silent.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl SessionRegistry {
-    /// A connection came up.
+    /// Adds a connection that was accepted at `now`.
     pub fn connection_opened(&mut self, conn: ConnId, now: Duration) {
-        self.conns.insert(conn, Conn { since: now, ..Conn::default() });
+        self.conns.insert(conn, Conn { opened: now, ..Conn::default() });
     }
 
-    /// A connection is gone: the set-ups open on it are given up.
+    /// Removes a connection. Its pending set-ups are abandoned and returned.
     pub fn connection_closed(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
-        let given_up = self.begin_close(conn);
+        let abandoned = self.begin_close(conn);
         self.conns.remove(&conn);
-        given_up
+        abandoned
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn connection_count(&self) -> usize {
         self.conns.len()
     }
 
-    /// Set-ups open on a connection.
+    /// Number of set-ups on a connection that have not been answered.
     pub fn pending_setups_on(&self, conn: ConnId) -> usize {
-        self.conns.get(&conn).map_or(0, |c| c.open.len())
+        self.conns.get(&conn).map_or(0, |c| c.pending.len())
     }
 
-    /// A whole message came on it.
+    /// Records that a complete message has arrived on a connection.
     pub fn message_received(&mut self, conn: ConnId) {
         if let Some(c) = self.conns.get_mut(&conn) {
-            c.spoke = true;
+            c.message_received = true;
         }
     }
 
-    /// A usual viewer's connection: gives the releases that waited for one.
+    /// Marks a connection as one that has carried a session, and returns the releases that waited for such a connection.
     pub fn mark_session_carrier(&mut self, conn: ConnId) -> Vec<Release> {
         let Some(c) = self.conns.get_mut(&conn) else { return Vec::new() };
-        c.usual = true;
-        self.owed.drain(..).map(|(sid, cause)| Release { conn, sid, cause }).collect()
+        c.carried_session = true;
+        self.pending_releases.drain(..).map(|(sid, cause)| Release { conn, sid, cause }).collect()
     }
 
-    /// It is being closed: the set-ups open on it are given up.
+    /// Marks a connection as being closed. Its pending set-ups are abandoned and returned.
     pub fn begin_close(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
         let Some(c) = self.conns.get_mut(&conn) else { return Vec::new() };
         c.closing = true;
-        let open = std::mem::take(&mut c.open);
-        open.into_iter().filter_map(|sid| Some((self.give_up(&sid)?, sid))).collect()
+        let pending = std::mem::take(&mut c.pending);
+        pending.into_iter().filter_map(|sid| Some((self.abandon_setup(&sid)?, sid))).collect()
     }
 
-    /// Which connection to close where there are too many: one that is closing, else the oldest that never said
-    /// anything though it had time to, else the oldest unusual and then usual one that is idle; never one with a
-    /// set-up open. Guards new connections against going, before their first message can come, for the next ones.
+    /// The connection to close when there are too many; `None` if each has a pending set-up.
+    ///
+    /// Preferred in this order: one that is closing already; the oldest silent one; the oldest idle one that never
+    /// carried a session; the oldest idle one. A connection that has not yet had time for its first message is not
+    /// evicted for a later one, unless there is no other choice.
     pub fn eviction_candidate(&self, now: Duration) -> Option<ConnId> {
-        let idle = |c: &Conn| c.open.is_empty() && (c.spoke || c.since + SPEAKS <= now);
-        let first = |of: &dyn Fn(&Conn) -> bool| self.conns.iter().find(|(_, c)| of(c)).map(|(id, _)| *id);
+        let idle = |c: &Conn| {
+            c.pending.is_empty() && (c.message_received || c.opened + FIRST_MESSAGE_TIMEOUT <= now)
+        };
+        let first =
+            |matches: &dyn Fn(&Conn) -> bool| self.conns.iter().find(|(_, c)| matches(c)).map(|(id, _)| *id);
         first(&|c| c.closing)
-            .or_else(|| first(&|c| idle(c) && !c.spoke))
-            .or_else(|| first(&|c| idle(c) && !c.usual))
+            .or_else(|| first(&|c| idle(c) && !c.message_received))
+            .or_else(|| first(&|c| idle(c) && !c.carried_session))
             .or_else(|| first(&idle))
-            // A crowd that came in one moment: the one that had the most time.
-            .or_else(|| first(&|c| c.open.is_empty()))
+            // All were opened within the time-out: the oldest has had the most time.
+            .or_else(|| first(&|c| c.pending.is_empty()))
     }
 
-    /// Whether a connection is being closed.
+    /// Returns whether a connection is being closed or is gone.
     pub fn is_closing(&self, conn: ConnId) -> bool {
         self.conns.get(&conn).is_none_or(|c| c.closing)
     }
 
-    /// The connection of a set-up whose answer is owed.
+    /// The connection of a set-up that has not been answered; `None` if the session has no pending set-up.
     pub fn connection_of_pending_setup(&self, sid: &str) -> Option<ConnId> {
-        self.sessions.get(sid).filter(|s| matches!(s.state, State::Asked(_))).map(|s| s.conn)
+        self.sessions.get(sid).filter(|s| matches!(s.state, State::Pending(_))).map(|s| s.conn)
     }
 }
--- a/crates/platform/src/session_registry/mod.rs
+++ b/crates/platform/src/session_registry/mod.rs
@@ -1,8 +1,9 @@
-//! Who waits for a session or has one, on which connection, and the releases that are owed to viewers.
+//! Sessions of viewers: pending set-ups, established sessions, their connections, and the releases to send.
 //!
-//! A session that stands belongs to no connection: its release goes on the connection of its set-up, else on any
-//! open one that usual viewers use, else on the next. One that only ever carried a test is none of those: whoever
-//! tests closes it at once, and what is written on it then is lost.
+//! An established session is not tied to a connection. Its release is written on the connection of its set-up if that
+//! is still open, else on any open connection that has carried a session, else on the next such connection. A connection
+//! that only carried a ping (OPTIONS) is not used: the viewer closes it right after the response, and what is written on
+//! it after that is lost.
 
 mod connections;
 mod releases;
@@ -13,125 +14,132 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-/// A connection of viewers; the shell never uses a number twice.
+/// Id of a viewer's connection. The event loop never reuses one, and ids grow in the order of opening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// Most releases that wait for a connection; past them the oldest is dropped, and its viewer finds out itself.
+/// Maximum number of releases that wait for a connection. Beyond it the oldest is dropped; its viewer then notices the
+/// end of the session only by the missing stream.
 pub const MAX_PENDING_RELEASES: usize = 65_536;
 
 #[derive(Debug)]
 enum State {
-    /// Its answer is owed.
-    Asked(ViewerId),
-    /// It stands there.
-    Stands(ServerId),
+    /// The set-up of this viewer has not been answered.
+    Pending(ViewerId),
+    /// The session plays at this server.
+    Established(ServerId),
 }
 
 #[derive(Debug)]
 struct Session {
     conn: ConnId,
     state: State,
-    /// The cause that its viewer is to be told, once it is over; `None`: it is owed no release.
+    /// Cause of the release to send to the viewer once the session has ended; `None` if it gets none.
     cause: Option<i64>,
-    /// Its server may still hold it.
+    /// True if the server may still hold the session.
     held: bool,
-    /// When it came to stand.
-    since: Duration,
+    /// Time at which the session was established.
+    established: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Conn {
-    /// Set-ups whose answer is owed.
-    open: BTreeSet<Sid>,
-    /// A usual viewer's: a session has stood on it.
-    usual: bool,
-    /// Sessions that were set up on it and stand.
-    standing: usize,
-    /// Anything whole was ever read on it.
-    spoke: bool,
-    /// When it came up.
-    since: Duration,
-    /// It is being closed: nothing is written on it any more.
+    /// Sessions whose set-up has not been answered.
+    pending: BTreeSet<Sid>,
+    /// True once a session has been established on the connection.
+    carried_session: bool,
+    /// Number of established sessions that were set up on the connection.
+    established: usize,
+    /// True once a complete message has arrived.
+    message_received: bool,
+    opened: Duration,
+    /// True once the connection is being closed; nothing more is written on it.
     closing: bool,
 }
 
-/// A release to be written.
+/// A release to write to a viewer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
-    /// Where.
+    /// Connection to write it on.
     pub conn: ConnId,
-    /// Of which session.
+    /// Session that is released.
     pub sid: Sid,
-    /// For which cause.
+    /// Numeric cause on the wire, one of [`crate::lines::cause`].
     pub cause: i64,
 }
 
-/// What a viewer's TEARDOWN was about.
+/// Effect of a viewer's TEARDOWN request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TeardownOutcome {
-    /// A set-up that is given up.
+    /// The pending set-up of this viewer is abandoned.
     PendingSetup(ViewerId),
-    /// A session that stood.
+    /// The session was established; it is to be ended.
     Established,
-    /// Nothing that is known.
+    /// The session is unknown.
     Unknown,
 }
 
-/// All of it.
+/// All pending set-ups, established sessions, viewer connections and releases that wait for a connection.
 #[derive(Debug, Default)]
 pub struct SessionRegistry {
     sessions: HashMap<Sid, Session>,
-    asked: HashMap<ViewerId, Sid>,
+    pending: HashMap<ViewerId, Sid>,
     conns: BTreeMap<ConnId, Conn>,
     by_server: HashMap<ServerId, BTreeSet<Sid>>,
-    owed: VecDeque<(Sid, i64)>,
+    pending_releases: VecDeque<(Sid, i64)>,
 }
 
 impl SessionRegistry {
-    /// Set-ups whose answer is owed.
+    /// Number of set-ups that have not been answered.
     pub fn pending_setups(&self) -> usize {
-        self.asked.len()
+        self.pending.len()
     }
 
-    /// Releases that wait for a connection.
+    /// Number of releases that wait for a connection.
     pub fn pending_releases(&self) -> usize {
-        self.owed.len()
+        self.pending_releases.len()
     }
 
-    /// Whether that id is in use.
+    /// Returns whether the session id is in use, by a pending set-up or an established session.
     pub fn contains(&self, sid: &str) -> bool {
         self.sessions.contains_key(sid)
     }
 
-    /// A set-up is taken.
+    /// Adds a set-up that has been accepted for processing.
     pub fn insert_setup(&mut self, sid: &Sid, conn: ConnId, viewer: ViewerId) {
-        let session =
-            Session { conn, state: State::Asked(viewer), cause: None, held: false, since: Duration::ZERO };
+        let session = Session {
+            conn,
+            state: State::Pending(viewer),
+            cause: None,
+            held: false,
+            established: Duration::ZERO,
+        };
         self.sessions.insert(sid.clone(), session);
-        self.asked.insert(viewer, sid.clone());
+        self.pending.insert(viewer, sid.clone());
         if let Some(c) = self.conns.get_mut(&conn) {
-            c.open.insert(sid.clone());
+            c.pending.insert(sid.clone());
         }
     }
 
-    /// The final answer goes out: where, and for which session. `stands`: where it plays, and since when.
+    /// Completes a pending set-up and returns where its final response goes. `established` is the server at which the
+    /// session plays and the time since when; `None` if the set-up has failed.
     pub fn complete_setup(
         &mut self,
         viewer: ViewerId,
-        stands: Option<(ServerId, Duration)>,
+        established: Option<(ServerId, Duration)>,
     ) -> Option<(ConnId, Sid)> {
-        let sid = self.asked.remove(&viewer)?;
-        let s = self.sessions.get_mut(&sid)?;
-        let conn = s.conn;
+        let sid = self.pending.remove(&viewer)?;
+        let session = self.sessions.get_mut(&sid)?;
+        let conn = session.conn;
         if let Some(c) = self.conns.get_mut(&conn) {
-            c.open.remove(&sid);
+            c.pending.remove(&sid);
         }
-        match stands {
+        match established {
             Some((server, since)) => {
-                s.since = since;
-                (s.state, s.cause, s.held) = (State::Stands(server), Some(cause::RESET), true);
-                self.stands(conn, server, &sid);
+                session.established = since;
+                (session.state, session.cause, session.held) =
+                    (State::Established(server), Some(cause::RESET), true);
+                self.index_established(conn, server, &sid);
             }
             None => {
                 self.sessions.remove(&sid);
@@ -140,82 +148,83 @@
         Some((conn, sid))
     }
 
-    /// A session stands already, handed over at a start.
+    /// Adds a session that an earlier incarnation set up and that is handed over after a start.
     pub fn adopt(&mut self, sid: &Sid, conn: ConnId, server: ServerId, since: Duration) {
-        let (state, cause) = (State::Stands(server), Some(cause::RESET));
-        self.sessions.insert(sid.clone(), Session { conn, state, cause, held: true, since });
-        self.stands(conn, server, sid);
+        let (state, cause) = (State::Established(server), Some(cause::RESET));
+        self.sessions.insert(sid.clone(), Session { conn, state, cause, held: true, established: since });
+        self.index_established(conn, server, sid);
     }
 
-    fn stands(&mut self, conn: ConnId, server: ServerId, sid: &Sid) {
+    fn index_established(&mut self, conn: ConnId, server: ServerId, sid: &Sid) {
         self.by_server.entry(server).or_default().insert(sid.clone());
         if let Some(c) = self.conns.get_mut(&conn) {
-            c.standing += 1;
+            c.established += 1;
         }
     }
 
-    fn give_up(&mut self, sid: &Sid) -> Option<ViewerId> {
-        let State::Asked(viewer) = self.sessions.get(sid)?.state else { return None };
+    fn abandon_setup(&mut self, sid: &Sid) -> Option<ViewerId> {
+        let State::Pending(viewer) = self.sessions.get(sid)?.state else { return None };
         self.sessions.remove(sid);
-        self.asked.remove(&viewer);
+        self.pending.remove(&viewer);
         Some(viewer)
     }
 
-    /// A viewer's TEARDOWN: it is owed nothing any more.
+    /// Handles a viewer's TEARDOWN. Afterwards the viewer gets neither a response to the set-up nor a release.
     pub fn teardown(&mut self, sid: &Sid) -> TeardownOutcome {
         let conn = self.sessions.get(sid).map(|s| s.conn);
-        if let Some(viewer) = self.give_up(sid) {
+        if let Some(viewer) = self.abandon_setup(sid) {
             if let Some(c) = conn.and_then(|conn| self.conns.get_mut(&conn)) {
-                c.open.remove(sid);
+                c.pending.remove(sid);
             }
             return TeardownOutcome::PendingSetup(viewer);
         }
         match self.sessions.get_mut(sid) {
-            Some(s) => {
-                s.cause = None;
+            Some(session) => {
+                session.cause = None;
                 TeardownOutcome::Established
             }
             None => TeardownOutcome::Unknown,
         }
     }
 
-    /// A server's release of a session that stands there; whether it does.
+    /// Records a server's release of a session. Returns false, and changes nothing, if the session is not established at
+    /// that server. After [`cause::CANCELLED`] the viewer gets no release.
     pub fn record_release(&mut self, server: ServerId, sid: &str, cause: i64) -> bool {
         if !self.is_established_at(server, sid) {
             return false;
         }
-        let Some(s) = self.sessions.get_mut(sid) else { return false };
-        s.held = false;
-        s.cause = s.cause.map(|_| cause).filter(|c| *c != cause::CANCELLED);
+        let Some(session) = self.sessions.get_mut(sid) else { return false };
+        session.held = false;
+        session.cause = session.cause.map(|_| cause).filter(|c| *c != cause::CANCELLED);
         true
     }
 
-    /// Sessions that stand at a server since before that time.
-    pub fn established_before(&self, server: ServerId, before: Duration) -> Vec<Sid> {
-        let older = |sid: &&Sid| self.sessions.get(*sid).is_some_and(|s| s.since < before);
+    /// Sessions at a server that were established before that time.
+    pub fn established_before(&self, server: ServerId, time: Duration) -> Vec<Sid> {
+        let older = |sid: &&Sid| self.sessions.get(*sid).is_some_and(|s| s.established < time);
         self.by_server.get(&server).into_iter().flatten().filter(older).cloned().collect()
     }
 
-    /// Whether any does.
+    /// Returns whether any session is established at a server.
     pub fn has_sessions_at(&self, server: ServerId) -> bool {
         self.by_server.contains_key(&server)
     }
 
-    /// The server at which that session stands.
+    /// The server at which a session is established.
     pub fn server_of(&self, sid: &str) -> Option<ServerId> {
         match self.sessions.get(sid)?.state {
-            State::Stands(server) => Some(server),
-            State::Asked(_) => None,
+            State::Established(server) => Some(server),
+            State::Pending(_) => None,
         }
     }
 
-    /// Whether that session stands at that server.
+    /// Returns whether a session is established at that server.
     pub fn is_established_at(&self, server: ServerId, sid: &str) -> bool {
         self.server_of(sid) == Some(server)
     }
 
-    /// Whether its server may still hold a session that stands.
+    /// Returns whether a session is established and has not been released by its server.
     pub fn may_be_held_by_server(&self, sid: &str) -> bool {
-        self.sessions.get(sid).is_some_and(|s| s.held && matches!(s.state, State::Stands(_)))
+        self.sessions.get(sid).is_some_and(|s| s.held && matches!(s.state, State::Established(_)))
     }
 }
--- a/crates/platform/src/session_registry/releases.rs
+++ b/crates/platform/src/session_registry/releases.rs
@@ -1,40 +1,43 @@
-//! Releases towards viewers: where each goes.
+//! Releases sent to viewers: the connection on which each is written.
 
 use super::*;
 
 impl SessionRegistry {
-    /// A session that stood is over: the release to be written now, where one is owed and a connection is open.
+    /// Removes an established session that has ended. Returns the release to write now, if its viewer is to get one and
+    /// a connection is available.
     pub fn end_session(&mut self, sid: &Sid) -> Option<Release> {
-        let State::Stands(server) = self.sessions.get(sid)?.state else { return None };
-        let s = self.sessions.remove(sid)?;
-        if let Some(at) = self.by_server.get_mut(&server) {
-            at.remove(sid);
-            if at.is_empty() {
+        let State::Established(server) = self.sessions.get(sid)?.state else { return None };
+        let session = self.sessions.remove(sid)?;
+        if let Some(sids) = self.by_server.get_mut(&server) {
+            sids.remove(sid);
+            if sids.is_empty() {
                 self.by_server.remove(&server);
             }
         }
-        if let Some(c) = self.conns.get_mut(&s.conn) {
-            c.standing -= 1;
+        if let Some(c) = self.conns.get_mut(&session.conn) {
+            c.established -= 1;
         }
-        let cause = s.cause?;
-        let own = Some(s.conn).filter(|c| self.conns.get(c).is_some_and(|c| !c.closing));
+        let cause = session.cause?;
+        let own = Some(session.conn).filter(|c| self.conns.get(c).is_some_and(|c| !c.closing));
         match own {
             Some(conn) => Some(Release { conn, sid: sid.clone(), cause }),
             None => self.route_release(sid, cause),
         }
     }
 
-    /// Where a release goes that can't go on its own connection; it waits if there is none.
+    /// Assigns a release to a connection other than its own. Without a suitable one the release waits, and `None` is
+    /// returned.
     pub fn route_release(&mut self, sid: &Sid, cause: i64) -> Option<Release> {
-        let usual = || self.conns.iter().rev().filter(|(_, c)| c.usual && !c.closing);
-        // One without a session may be closed by its viewer in the same instant.
-        let any = || usual().find(|(_, c)| c.standing > 0).or_else(|| usual().next()).map(|(id, _)| *id);
-        match any() {
+        let carriers = || self.conns.iter().rev().filter(|(_, c)| c.carried_session && !c.closing);
+        // Prefer one with a session: the viewer may close a connection without one at any moment.
+        let best =
+            || carriers().find(|(_, c)| c.established > 0).or_else(|| carriers().next()).map(|(id, _)| *id);
+        match best() {
             Some(conn) => Some(Release { conn, sid: sid.clone(), cause }),
             None => {
-                self.owed.push_back((sid.clone(), cause));
-                if self.owed.len() > MAX_PENDING_RELEASES {
-                    self.owed.pop_front();
+                self.pending_releases.push_back((sid.clone(), cause));
+                if self.pending_releases.len() > MAX_PENDING_RELEASES {
+                    self.pending_releases.pop_front();
                 }
                 None
             }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,5 +1,5 @@
-//! The platform's settings of one instance, as the simulator's first message and NODE_CONFIG both carry them,
-//! in the decision module's words. Translation only; nothing is decided here.
+//! Settings of one instance, as the simulator's first message and `NODE_CONFIG` both contain them, converted to the types
+//! of the decision module. Nothing is decided here.
 
 mod figures;
 mod wire;
@@ -11,141 +11,145 @@
 use std::time::Duration;
 use wire::{WireGrade, WireSetup};
 
-/// Milliseconds as a span; nonsense becomes zero or, if huge, some thousand years.
+/// Converts milliseconds to a duration. Negative values and NaN become zero; values above 1e14 ms (about 3000 years) are
+/// reduced to it.
 pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 1e14).max(0.0) / 1e3)
 }
 
-/// A figure as a whole number; what is under zero or none is zero.
-pub fn whole_number(v: f64) -> usize {
-    v.max(0.0) as usize
+/// Converts a number to a whole one, rounding down; negative values and NaN become zero.
+pub fn whole_number(value: f64) -> usize {
+    value.max(0.0) as usize
 }
 
-/// Which of the names it is.
+/// Index of `name` in a list of names.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-/// Beyond N set-ups in the time that the settings name, N being what they allow a cold server then, 2 x root of N + 2 are
-/// put down to chance: the platform's own words, which its settings don't repeat. Its servers fall later, past
-/// N + 3 x root of N + 3; the stricter line is kept.
-const FALL_FREE: f64 = 2.0;
-/// See above.
-const FALL_ROOT: f64 = 2.0;
+/// Constant part of the tolerance on the number of set-ups at a cold server.
+///
+/// If the settings allow N set-ups in their time span, up to N + 2 sqrt(N) + 2 are attributed to chance. The platform
+/// specifies these figures, but its settings do not contain them. Its servers are overloaded only beyond
+/// N + 3 sqrt(N) + 3; the stricter bound is used.
+const OVERLOAD_TOLERANCE: f64 = 2.0;
+/// Factor of sqrt(N) in the tolerance on the number of set-ups at a cold server; see [`OVERLOAD_TOLERANCE`].
+const OVERLOAD_TOLERANCE_PER_SQRT: f64 = 2.0;
 
-/// Most attempts for one request, whatever more is allowed: the session core's own bound.
-const MOST_ATTEMPTS: usize = 16;
-/// A connection not made after this counts as impossible, where the settings don't say.
-const CONNECT: Duration = Duration::from_secs(1);
-/// What a class aims at that has neither aim nor deadline: longer than anybody waits.
-const UNAIMED: Duration = Duration::from_secs(3_600);
-/// The effect of a set-up that may be repeated though it may have run.
-const REPEATABLE: &str = "idempotent";
+/// Upper bound of the attempts for one request, even if the settings allow more; equals that of the session core.
+const MAX_ATTEMPTS: usize = 16;
+/// Connect time-out if the settings contain none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Target set-up time of a class with neither a target nor a deadline: longer than any viewer waits.
+const NO_TARGET: Duration = Duration::from_secs(3_600);
+/// Effect of a class whose set-ups may be repeated even if an earlier attempt may have been executed.
+const IDEMPOTENT: &str = "idempotent";
 
-/// The names that one instance's settings gave, to turn names into indices.
+/// Names in the settings of one instance, in the order of the indices that stand for them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of the classes.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// Of the tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Of the kinds of servers.
+    /// Names of the kinds of servers.
     pub kinds: Vec<String>,
-    /// Of the front's own zone.
+    /// Name of the front's own zone.
     pub zone: String,
 }
 
-/// What the settings say.
+/// The settings of one instance.
 #[derive(Clone, Debug)]
 pub struct SiteSettings {
-    /// For the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names that indices stand for.
+    /// Names for the indices in `settings`.
     pub names: Names,
-    /// How long a viewer of each class waits at most; zero: not told.
+    /// Maximum waiting time of a viewer, by class; zero if the settings contain none.
     pub deadlines: Vec<Duration>,
-    /// A connection not made after this counts as impossible; never zero.
+    /// Time-out for connecting to a server; never zero.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this; zero: not told.
+    /// Time after which servers close an idle connection; zero if the settings contain none.
     pub idle_close: Duration,
-    /// Session managers may send each other datagrams.
+    /// True if session managers may send each other datagrams.
     pub peer_datagrams: bool,
-    /// Classes whose effect is none of the two words that are known, with that word: none is repeated that may have run.
+    /// Name and effect of each class with an unknown effect. Its set-ups are treated as at-most-once.
     pub unknown_effects: Vec<(String, String)>,
 }
 
-/// Reads the settings of one instance.
+/// Parses and validates the settings of one instance.
 ///
 /// # Errors
-/// Which field is wrong, and how.
+/// The first invalid field, and what is wrong with it.
 pub fn read(value: serde_json::Value) -> Result<SiteSettings, String> {
-    let w: WireSetup =
+    let wire: WireSetup =
         serde_path_to_error::deserialize(value).map_err(|e| format!("`{}`: {}", e.path(), e.inner()))?;
-    w.check()?;
-    let peers = w.limits.peers;
-    let (connect, idle_close) = (w.limits.connect_timeout.0, w.limits.idle_close.0);
-    let connect_timeout = if connect.is_zero() { CONNECT } else { connect };
-    let d = w.domain;
+    wire.check()?;
+    let peer_datagrams = wire.limits.peers;
+    let (connect, idle_close) = (wire.limits.connect_timeout.0, wire.limits.idle_close.0);
+    let connect_timeout = if connect.is_zero() { DEFAULT_CONNECT_TIMEOUT } else { connect };
+    let domain = wire.domain;
     let at = |list: &[Whole], i: usize| list.get(i).map(|w| w.0);
-    let highest = d.level_kb.len().saturating_sub(1);
-    let class = |(i, g): (usize, &WireGrade)| Class {
-        // Without an aim the deadline is what is aimed at: with none at all each first attempt would be over at once.
-        aim: [g.aim.0, g.deadline.0].into_iter().find(|t| !t.is_zero()).unwrap_or(UNAIMED),
-        at_most_once: g.effect != REPEATABLE,
-        worth: g.importance.0,
-        scale: d.scale_by_class.get(i).map_or(1.0, |s| s.0),
-        floor: at(&d.floor_by_class, i).unwrap_or(0),
-        top: at(&d.class_top, i).unwrap_or(highest),
-        live: d.class_live.get(i).copied().unwrap_or(false),
-        seats: at(&d.seats, i).unwrap_or(0),
+    let max_rung = domain.level_kb.len().saturating_sub(1);
+    let class = |(i, grade): (usize, &WireGrade)| Class {
+        // Without a target the deadline is used: with a target of zero each first attempt would end at once.
+        aim: [grade.aim.0, grade.deadline.0].into_iter().find(|t| !t.is_zero()).unwrap_or(NO_TARGET),
+        at_most_once: grade.effect != IDEMPOTENT,
+        worth: grade.importance.0,
+        scale: domain.scale_by_class.get(i).map_or(1.0, |s| s.0),
+        floor: at(&domain.floor_by_class, i).unwrap_or(0),
+        top: at(&domain.class_top, i).unwrap_or(max_rung),
+        live: domain.class_live.get(i).copied().unwrap_or(false),
+        seats: at(&domain.seats, i).unwrap_or(0),
     };
-    let worth = |i: usize| d.ladder_worth.get(i).map_or(0.0, |w| w.0);
-    let rungs = d.level_kb.iter().enumerate();
-    let r = w.invariants;
+    let worth = |i: usize| domain.ladder_worth.get(i).map_or(0.0, |w| w.0);
+    let rates = domain.level_kb.iter().enumerate();
+    let rules = wire.invariants;
     let settings = Settings {
-        fronts: w.balancers.0,
-        number: w.index.map(|i| i.0),
-        classes: w.grades.iter().enumerate().map(class).collect(),
-        ladder: rungs.map(|(i, rate)| Rung { rate: rate.0, worth: worth(i) }).collect(),
-        tenants: w.tenants.iter().map(|t| Tenant { quota: t.quota_per_s.0 }).collect(),
-        over_share_worth: w.over_share_worth.0,
-        streams_by_kind: d.places_by_kind.iter().map(|p| p.0).collect(),
-        link_unit: d.link_unit_kb.0,
-        weights_tell_size: w.weights != "none",
-        rack_uplink: d.rack_link_kb.0,
-        cells: d.places.0 as u64,
-        racks: d.shelves.0 as u64,
-        join: d.join.map_or(1.0, |j| j.0),
-        told_late: d.told_late.0,
-        told_every: d.told_every.0,
+        fronts: wire.balancers.0,
+        number: wire.index.map(|i| i.0),
+        classes: wire.grades.iter().enumerate().map(class).collect(),
+        ladder: rates.map(|(i, rate)| Rung { rate: rate.0, worth: worth(i) }).collect(),
+        tenants: wire.tenants.iter().map(|t| Tenant { quota: t.quota_per_s.0 }).collect(),
+        over_share_worth: wire.over_share_worth.0,
+        streams_by_kind: domain.places_by_kind.iter().map(|p| p.0).collect(),
+        link_unit: domain.link_unit_kb.0,
+        weights_tell_size: wire.weights != "none",
+        rack_uplink: domain.rack_link_kb.0,
+        cells: domain.places.0 as u64,
+        racks: domain.shelves.0 as u64,
+        join: domain.join.map_or(1.0, |j| j.0),
+        told_late: domain.told_late.0,
+        told_every: domain.told_every.0,
         limits: Limits {
-            attempts: w.limits.most_tries.map_or(1, |t| t.0.min(MOST_ATTEMPTS)) as u32,
-            hold_off: if w.limits.retry_after { w.limits.max_retry_after.0 } else { Duration::ZERO },
+            attempts: wire.limits.most_tries.map_or(1, |t| t.0.min(MAX_ATTEMPTS)) as u32,
+            hold_off: if wire.limits.retry_after { wire.limits.max_retry_after.0 } else { Duration::ZERO },
         },
         rules: Rules {
-            cold: r.cold.0,
-            cold_from: r.cold_from.0,
-            fall_multiple: r.fall_multiple.0,
-            fall_span: r.fall.0,
-            fall_free: FALL_FREE,
-            fall_root: FALL_ROOT,
-            ration: r.budget_span.map(|span| Ration {
-                free: r.budget_free.map_or(0.0, |f| f.0),
-                share: r.extra_share.map_or(0.0, |s| s.0),
+            cold: rules.cold.0,
+            cold_from: rules.cold_from.0,
+            fall_multiple: rules.fall_multiple.0,
+            fall_span: rules.fall.0,
+            fall_free: OVERLOAD_TOLERANCE,
+            fall_root: OVERLOAD_TOLERANCE_PER_SQRT,
+            ration: rules.budget_span.map(|span| Ration {
+                free: rules.budget_free.map_or(0.0, |f| f.0),
+                share: rules.extra_share.map_or(0.0, |s| s.0),
                 span: span.0,
             }),
-            ask_within: r.ask_within.0,
+            ask_within: rules.ask_within.0,
         },
-        list_pushed: w.discovery != "on_request",
+        list_pushed: wire.discovery != "on_request",
     };
-    let unknown = |g: &&WireGrade| g.effect != REPEATABLE && g.effect != "at_most_once";
-    let doubted = w.grades.iter().filter(unknown).map(|g| (g.name.clone(), g.effect.clone())).collect();
-    let deadlines = w.grades.iter().map(|g| g.deadline.0).collect();
+    let unknown = |grade: &&WireGrade| grade.effect != IDEMPOTENT && grade.effect != "at_most_once";
+    let unknown_effects =
+        wire.grades.iter().filter(unknown).map(|g| (g.name.clone(), g.effect.clone())).collect();
+    let deadlines = wire.grades.iter().map(|g| g.deadline.0).collect();
     let names = Names {
-        classes: w.grades.into_iter().map(|g| g.name).collect(),
-        tenants: w.tenants.into_iter().map(|t| t.name).collect(),
-        kinds: w.kinds,
-        zone: w.zone,
+        classes: wire.grades.into_iter().map(|g| g.name).collect(),
+        tenants: wire.tenants.into_iter().map(|t| t.name).collect(),
+        kinds: wire.kinds,
+        zone: wire.zone,
     };
     Ok(SiteSettings {
         settings,
@@ -153,31 +157,31 @@
         deadlines,
         connect_timeout,
         idle_close,
-        peer_datagrams: peers,
-        unknown_effects: doubted,
+        peer_datagrams,
+        unknown_effects,
     })
 }
 
-/// Most sessions held: more than the video servers of a session manager this size can run.
-const MOST_SESSIONS: usize = 16_384;
-/// An answer goes out so long before the viewer's time is up: for the way there, and for what the clock at the
-/// other end counts already when the request is read here.
-const MARGIN: Duration = Duration::from_millis(20);
+/// Maximum number of sessions held: more than the video servers of one session manager can carry.
+const MAX_SESSIONS: usize = 16_384;
+/// Time before the end of a viewer's waiting time at which its response is sent: covers the way to the viewer, and what
+/// has passed on the viewer's clock before the request is read here.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
 
 impl SiteSettings {
-    /// What the session core is told of them.
+    /// Configuration of the session core for these settings.
     pub fn core_config(&self) -> Terms {
         let s = &self.settings;
         let classes = s.classes.iter().zip(&self.deadlines);
         Terms {
             classes: classes.map(|(c, &deadline)| ClassTerms { paid: c.at_most_once, deadline }).collect(),
-            // Rates in kbps are for players' hints, which the platform has none of.
+            // Rates in kbps serve the hints of players; the platform has no such hints.
             rates: s.classes.iter().map(|_| Arc::from([])).collect(),
             kinds: self.names.kinds.clone(),
             hall: self.names.zone.clone(),
             hold_off: s.limits.hold_off,
-            margin: MARGIN,
-            most: MOST_SESSIONS,
+            margin: RESPONSE_MARGIN,
+            most: MAX_SESSIONS,
             waiting: 1,
             idle: None,
             memory: None,
--- a/crates/platform/src/settings/figures.rs
+++ b/crates/platform/src/settings/figures.rs
@@ -1,74 +1,73 @@
-//! Figures of the settings, each read as what it stands for: one that can't be used is refused where it is read, and
-//! none is taken for another.
+//! Numbers in the settings, one type for each range of values. A number out of range is rejected when it is parsed.
 
 use super::duration_from_ms;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 use std::time::Duration;
 
-/// No figure of the platform's is over this; what is reckoned with them stays a number, and a time.
-const MOST: f64 = 1e12;
+/// Upper bound of all numbers in the settings; keeps results finite and durations representable.
+const MAX_NUMBER: f64 = 1e12;
 
-fn within<'de, D: Deserializer<'de>>(
+fn deserialize_in_range<'de, D: Deserializer<'de>>(
     d: D,
     allowed: &str,
-    fits: impl Fn(f64) -> bool,
+    in_range: impl Fn(f64) -> bool,
 ) -> Result<f64, D::Error> {
-    let v = f64::deserialize(d)?;
-    if v <= MOST && fits(v) {
-        Ok(v)
+    let value = f64::deserialize(d)?;
+    if value <= MAX_NUMBER && in_range(value) {
+        Ok(value)
     } else {
-        Err(D::Error::custom(format_args!("{v} is not {allowed}")))
+        Err(D::Error::custom(format_args!("{value} is not {allowed}")))
     }
 }
 
-/// A figure that is not negative.
+/// Number from 0.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Figure(pub(super) f64);
 
 impl<'de> Deserialize<'de> for Figure {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        within(d, "0 to 1e12", |v| v >= 0.0).map(Figure)
+        deserialize_in_range(d, "0 to 1e12", |v| v >= 0.0).map(Figure)
     }
 }
 
-/// A figure that others are divided by.
+/// Number above 0, for divisors.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Positive(pub(super) f64);
 
 impl<'de> Deserialize<'de> for Positive {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        within(d, "over 0 and up to 1e12", |v| v > 0.0).map(Positive)
+        deserialize_in_range(d, "above 0 and at most 1e12", |v| v > 0.0).map(Positive)
     }
 }
 
-/// A part of a whole.
+/// Fraction from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Part(pub(super) f64);
+pub(super) struct Fraction(pub(super) f64);
 
-impl<'de> Deserialize<'de> for Part {
+impl<'de> Deserialize<'de> for Fraction {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        within(d, "0 to 1", |v| (0.0..=1.0).contains(&v)).map(Part)
+        deserialize_in_range(d, "0 to 1", |v| (0.0..=1.0).contains(&v)).map(Fraction)
     }
 }
 
-/// A whole number, written with or without a point.
+/// Whole number from 0, written with or without a decimal point.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Whole(pub(super) usize);
 
 impl<'de> Deserialize<'de> for Whole {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        within(d, "a whole number from 0 to 1e12", |v| v >= 0.0 && v.fract() == 0.0)
+        deserialize_in_range(d, "a whole number from 0 to 1e12", |v| v >= 0.0 && v.fract() == 0.0)
             .map(|v| Whole(v as usize))
     }
 }
 
-/// A time in milliseconds.
+/// Duration, written in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Millis(pub(super) Duration);
 
 impl<'de> Deserialize<'de> for Millis {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        within(d, "0 to 1e12 ms", |v| v >= 0.0).map(|v| Millis(duration_from_ms(v)))
+        deserialize_in_range(d, "0 to 1e12 ms", |v| v >= 0.0).map(|v| Millis(duration_from_ms(v)))
     }
 }
--- a/crates/platform/src/settings/wire.rs
+++ b/crates/platform/src/settings/wire.rs
@@ -1,7 +1,7 @@
-//! The settings as they are written, and what of them contradicts the rest. What the platform may leave out is
-//! optional here; what it sends has to be usable.
+//! The settings as written, and the check that their fields agree. Fields that the platform may leave out are optional;
+//! fields that are present have to be valid. Struct fields are named as the keys of the settings.
 
-use super::figures::{Figure, Millis, Part, Positive, Whole};
+use super::figures::{Figure, Fraction, Millis, Positive, Whole};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
@@ -39,7 +39,7 @@
     pub(super) class_live: Vec<bool>,
     pub(super) class_top: Vec<Whole>,
     pub(super) floor_by_class: Vec<Whole>,
-    pub(super) join: Option<Part>,
+    pub(super) join: Option<Fraction>,
     pub(super) ladder_worth: Vec<Figure>,
     pub(super) level_kb: Vec<Positive>,
     pub(super) link_unit_kb: Figure,
@@ -73,7 +73,7 @@
     pub(super) budget_free: Option<Figure>,
     pub(super) budget_span: Option<Millis>,
     pub(super) cold: Millis,
-    pub(super) cold_from: Part,
+    pub(super) cold_from: Fraction,
     pub(super) extra_share: Option<Figure>,
     pub(super) fall: Millis,
     pub(super) fall_multiple: Figure,
@@ -99,68 +99,77 @@
 }
 
 impl WireSetup {
-    /// The first field that contradicts another, or that nothing could be done with.
+    /// Checks the fields against each other.
+    ///
+    /// # Errors
+    /// The first field that contradicts another or has no usable value.
     pub(super) fn check(&self) -> Result<(), String> {
-        let fault = |field: &str, what: String| Err(format!("`{field}`: {what}"));
-        let d = &self.domain;
+        let error = |field: &str, problem: String| Err(format!("`{field}`: {problem}"));
+        let domain = &self.domain;
         let lists = [
-            ("domain.class-live", d.class_live.len(), "grades", self.grades.len()),
-            ("domain.class-top", d.class_top.len(), "grades", self.grades.len()),
-            ("domain.floor-by-class", d.floor_by_class.len(), "grades", self.grades.len()),
-            ("domain.scale-by-class", d.scale_by_class.len(), "grades", self.grades.len()),
-            ("domain.seats", d.seats.len(), "grades", self.grades.len()),
-            ("domain.ladder-worth", d.ladder_worth.len(), "domain.level-kb", d.level_kb.len()),
-            ("domain.places-by-kind", d.places_by_kind.len(), "kinds", self.kinds.len()),
+            ("domain.class-live", domain.class_live.len(), "grades", self.grades.len()),
+            ("domain.class-top", domain.class_top.len(), "grades", self.grades.len()),
+            ("domain.floor-by-class", domain.floor_by_class.len(), "grades", self.grades.len()),
+            ("domain.scale-by-class", domain.scale_by_class.len(), "grades", self.grades.len()),
+            ("domain.seats", domain.seats.len(), "grades", self.grades.len()),
+            ("domain.ladder-worth", domain.ladder_worth.len(), "domain.level-kb", domain.level_kb.len()),
+            ("domain.places-by-kind", domain.places_by_kind.len(), "kinds", self.kinds.len()),
         ];
-        for (field, has, of, wants) in lists {
-            if has != 0 && has != wants {
-                return fault(
+        for (field, len, of, expected) in lists {
+            if len != 0 && len != expected {
+                return error(
                     field,
-                    format!("{has} entries are neither none nor one for each of {wants} in `{of}`"),
+                    format!("{len} entries are neither none nor one for each of {expected} in `{of}`"),
                 );
             }
         }
-        let names = |names: Vec<&str>| {
+        let invalid_name = |names: Vec<&str>| {
             let mut seen = BTreeSet::new();
             names
                 .into_iter()
                 .enumerate()
-                .find(|(_, n)| n.is_empty() || !seen.insert(n.to_owned()))
+                .find(|(_, name)| name.is_empty() || !seen.insert(name.to_owned()))
                 .map(|(i, _)| i)
         };
-        let named = [
-            ("grades", ".name", names(self.grades.iter().map(|g| &*g.name).collect())),
-            ("kinds", "", names(self.kinds.iter().map(|k| &**k).collect())),
-            ("tenants", ".name", names(self.tenants.iter().map(|t| &*t.name).collect())),
+        let name_lists = [
+            ("grades", ".name", invalid_name(self.grades.iter().map(|g| &*g.name).collect())),
+            ("kinds", "", invalid_name(self.kinds.iter().map(|k| &**k).collect())),
+            ("tenants", ".name", invalid_name(self.tenants.iter().map(|t| &*t.name).collect())),
         ];
-        for (list, of, found) in named {
-            if let Some(i) = found {
-                return fault(&format!("{list}[{i}]{of}"), "a name of its own is needed".into());
+        for (list, suffix, index) in name_lists {
+            if let Some(i) = index {
+                return error(&format!("{list}[{i}]{suffix}"), "a unique name is needed".into());
             }
         }
-        if let Some(i) = d.level_kb.windows(2).position(|w| w[1].0 < w[0].0) {
-            let what = format!("{} is under the one before; the lowest comes first", d.level_kb[i + 1].0);
-            return fault(&format!("domain.level-kb[{}]", i + 1), what);
+        if let Some(i) = domain.level_kb.windows(2).position(|w| w[1].0 < w[0].0) {
+            let problem =
+                format!("{} is below the one before; the lowest comes first", domain.level_kb[i + 1].0);
+            return error(&format!("domain.level-kb[{}]", i + 1), problem);
         }
-        for (i, floor) in d.floor_by_class.iter().enumerate() {
-            // A top past the ladder binds nothing; a floor past it, or past the top, lets nothing play.
-            let top = d.class_top.get(i).map_or(usize::MAX, |t| t.0).min(d.level_kb.len().saturating_sub(1));
-            if floor.0 > top {
-                return fault(
+        for (i, min_rung) in domain.floor_by_class.iter().enumerate() {
+            // A maximum above the ladder has no effect; a minimum above the ladder or above the maximum would allow
+            // no rung.
+            let max_rung = domain
+                .class_top
+                .get(i)
+                .map_or(usize::MAX, |t| t.0)
+                .min(domain.level_kb.len().saturating_sub(1));
+            if min_rung.0 > max_rung {
+                return error(
                     &format!("domain.floor-by-class[{i}]"),
-                    format!("{} is not 0 to {top}", floor.0),
+                    format!("{} is not 0 to {max_rung}", min_rung.0),
                 );
             }
         }
         if self.limits.most_tries.is_some_and(|t| t.0 == 0) {
-            return fault("limits.most-tries", "0 is not a whole number from 1".into());
+            return error("limits.most-tries", "0 is not a whole number from 1".into());
         }
-        let r = &self.invariants;
-        match r.budget_span {
-            Some(span) if span.0.is_zero() => fault("invariants.budget-span", "0 is not over 0 ms".into()),
-            None if r.budget_free.is_some() || r.extra_share.is_some() => {
-                let what = "it is needed where `budget-free` or `extra-share` is given";
-                fault("invariants.budget-span", what.into())
+        let rules = &self.invariants;
+        match rules.budget_span {
+            Some(span) if span.0.is_zero() => error("invariants.budget-span", "0 is not above 0 ms".into()),
+            None if rules.budget_free.is_some() || rules.extra_share.is_some() => {
+                let problem = "needed if `budget-free` or `extra-share` is given";
+                error("invariants.budget-span", problem.into())
             }
             _ => Ok(()),
         }
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -1,4 +1,4 @@
-//! What a viewer's messages ask for, read and checked; and what it is answered.
+//! Requests of viewers: validation against the settings, and the responses.
 
 use crate::rtsp::{self, Message, Method, StartLine};
 use crate::settings::{index_of, SiteSettings};
@@ -7,128 +7,136 @@
 use cloverhollow_session::{Answer, Arrival, Sid, ViewerId};
 use std::time::Duration;
 
-/// Longest that any viewer may say it waits; the class's own deadline binds besides. A session that is handed over
-/// says over an hour.
-const LONGEST_WAIT_MS: u64 = u32::MAX as u64;
-/// Most cells or copies that a set-up may name.
-const MOST_CELLS: u64 = 1_000_000;
+/// Upper bound of the waiting time that a request may state, in milliseconds; the deadline of its class applies in
+/// addition. A hand-over of an established session states more than an hour.
+const MAX_WAIT_MS: u64 = u32::MAX as u64;
+/// Upper bound of the home cell and of the number of copies that a set-up may state.
+const MAX_CELLS: u64 = 1_000_000;
 
-/// What a set-up hands on to a video server, unchanged.
+/// Parts of a set-up that are passed on to the video server unchanged.
 #[derive(Clone, Debug)]
 pub struct SetupRequest {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// The title, as the viewer wrote it.
+    /// Title, as spelled in the request.
     pub title: String,
-    /// The description.
+    /// Session description (SDP).
     pub description: String,
 }
 
-/// A set-up that can be used.
+/// A valid set-up or hand-over.
 #[derive(Debug)]
 pub struct Setup {
-    /// The session.
+    /// Session id.
     pub sid: Sid,
-    /// It plays already at the server of this name: no answer is owed.
+    /// Name of the server at which the session plays already. Set for a hand-over, which gets no response.
     pub playing_at: Option<String>,
-    /// For the core, but for who waits.
+    /// The request for the session core. The caller sets `viewer`.
     pub arrival: Arrival<SetupRequest>,
 }
 
-/// What a message of a viewer asks for.
+/// A viewer's message, classified.
 #[derive(Debug)]
 pub enum ViewerRequest {
-    /// A session.
+    /// Sets a session up, or hands an established one over.
     Setup(Box<Setup>),
-    /// A set-up is given up, or a session released.
+    /// Abandons a set-up or releases a session.
     Teardown {
-        /// Which.
+        /// Session id.
         sid: Sid,
-        /// Number of the message.
+        /// `CSeq` of the request.
         cseq: String,
     },
-    /// A test.
+    /// Pings the session manager.
     Ping {
-        /// Number of the message.
+        /// `CSeq` of the request.
         cseq: String,
-        /// Its session, if it names one.
+        /// Session id, if the request names one.
         sid: Option<String>,
     },
-    /// Nothing: an answer, or a note that wants none.
+    /// Response, or request that needs no action.
     NoAction,
 }
 
-/// Why a message can't be used, and whom that is told.
+/// Reason why a message is rejected, and the headers for the error response.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("{problem}")]
 pub struct InvalidRequest {
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: &'static str,
-    /// Whom to answer.
+    /// Headers for the error response.
     pub reply_to: rtsp::ReplyTarget,
 }
 
-fn session_id(m: &Message) -> Option<Sid> {
-    let id = m.header("Session")?;
+fn session_id(message: &Message) -> Option<Sid> {
+    let id = message.header("Session")?;
     (id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit())).then(|| id.into())
 }
 
-/// A whole number of at most that size, without sign or blanks.
-fn number(text: &str, most: u64) -> Option<u64> {
+/// Parses a whole number of at most `max`, without sign or blanks.
+fn number(text: &str, max: u64) -> Option<u64> {
     let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    text.parse().ok().filter(|n| digits && *n <= most)
+    text.parse().ok().filter(|n| digits && *n <= max)
 }
 
-/// Reads a viewer's message.
+/// Parses a viewer's message and validates it against the settings.
 ///
 /// # Errors
-/// It can't be used: it is owed a refusal.
-pub fn parse(m: Message, site: &SiteSettings) -> Result<ViewerRequest, InvalidRequest> {
-    let cseq = m.header("CSeq").unwrap_or_default();
+/// The message is invalid. An error response is due.
+pub fn parse(message: Message, site: &SiteSettings) -> Result<ViewerRequest, InvalidRequest> {
+    let cseq = message.header("CSeq").unwrap_or_default();
     let cseq = if number(cseq, u64::MAX).is_some() { cseq.to_owned() } else { String::new() };
-    let sid = session_id(&m);
-    let to = rtsp::ReplyTarget {
+    let sid = session_id(&message);
+    let reply_to = rtsp::ReplyTarget {
         cseq: (!cseq.is_empty()).then(|| cseq.clone()),
         session: sid.as_deref().map(str::to_owned),
     };
-    let fault = |what| Err(InvalidRequest { problem: what, reply_to: to.clone() });
-    let StartLine::Request { method, uri } = &m.start_line else { return Ok(ViewerRequest::NoAction) };
+    let invalid = |problem| Err(InvalidRequest { problem, reply_to: reply_to.clone() });
+    let StartLine::Request { method, uri } = &message.start_line else { return Ok(ViewerRequest::NoAction) };
     if cseq.is_empty() {
-        return fault("no CSeq that is a number");
+        return invalid("CSeq is missing or not a number");
     }
     if !uri.starts_with("rtsp://media/") {
-        return fault("an address that is none of the platform's");
+        return invalid("URI does not start with rtsp://media/");
     }
     match method {
         Method::Setup => {}
         Method::Teardown => {
-            let Some(sid) = sid else { return fault("no session id of 16 hex digits") };
+            let Some(sid) = sid else { return invalid("session id is not 16 hex digits") };
             return Ok(ViewerRequest::Teardown { sid, cseq });
         }
-        Method::Options => return Ok(ViewerRequest::Ping { cseq, sid: to.session }),
+        Method::Options => return Ok(ViewerRequest::Ping { cseq, sid: reply_to.session }),
         Method::Announce | Method::Redirect | Method::SetParameter => return Ok(ViewerRequest::NoAction),
     }
-    match setup(&m, uri, sid, site) {
+    match parse_setup(&message, uri, sid, site) {
         Ok(setup) => Ok(ViewerRequest::Setup(Box::new(setup))),
-        Err(what) => fault(what),
+        Err(problem) => invalid(problem),
     }
 }
 
-fn setup(m: &Message, uri: &str, sid: Option<Sid>, site: &SiteSettings) -> Result<Setup, &'static str> {
-    let sid = sid.ok_or("no session id of 16 hex digits")?;
+fn parse_setup(
+    message: &Message,
+    uri: &str,
+    sid: Option<Sid>,
+    site: &SiteSettings,
+) -> Result<Setup, &'static str> {
+    let sid = sid.ok_or("session id is not 16 hex digits")?;
     let key = uri.rsplit('/').next().unwrap_or_default();
     let title = u64::from_str_radix(key, 16).ok().filter(|_| (1..=16).contains(&key.len()));
-    let title = title.ok_or("a title that is not up to 16 hex digits")?;
-    let class = m.header("X-Service").and_then(|c| index_of(&site.names.classes, c));
-    let class = class.ok_or("no class of the settings")?;
-    let tenant = match m.header("X-Account") {
+    let title = title.ok_or("title is not 1 to 16 hex digits")?;
+    let class = message.header("X-Service").and_then(|c| index_of(&site.names.classes, c));
+    let class = class.ok_or("X-Service is not a class of the settings")?;
+    let tenant = match message.header("X-Account") {
         None => None,
-        Some(name) => Some(index_of(&site.names.tenants, name).ok_or("no tenant of the settings")?),
+        Some(name) => {
+            Some(index_of(&site.names.tenants, name).ok_or("X-Account is not a tenant of the settings")?)
+        }
     };
-    let wait = m.header("X-Setup-Ms").and_then(|w| number(w, LONGEST_WAIT_MS));
-    let wait = Duration::from_millis(wait.ok_or("no waiting time that is a number in range")?);
-    let blob = std::str::from_utf8(&m.body).map_err(|_| "a description that is no UTF-8")?.to_owned();
-    let route = Figures::read(m.header("X-Route").unwrap_or_default())?;
+    let wait = message.header("X-Setup-Ms").and_then(|w| number(w, MAX_WAIT_MS));
+    let wait = Duration::from_millis(wait.ok_or("X-Setup-Ms is missing or out of range")?);
+    let description =
+        std::str::from_utf8(&message.body).map_err(|_| "description is not valid UTF-8")?.to_owned();
+    let route = Route::parse(message.header("X-Route").unwrap_or_default())?;
     let deadline = site.deadlines.get(class).copied().filter(|d| !d.is_zero());
     let arrival = Arrival {
         viewer: ViewerId(0),
@@ -144,18 +152,14 @@
         underway: false,
         faults: Faults::default(),
         contradictions: Contradictions::default(),
-        ask: SetupRequest {
-            class: site.names.classes[class].clone(),
-            title: key.to_owned(),
-            description: blob,
-        },
+        ask: SetupRequest { class: site.names.classes[class].clone(), title: key.to_owned(), description },
     };
     Ok(Setup { sid, playing_at: route.at, arrival })
 }
 
-/// The figures of `X-Route`.
+/// Parameters of the header `X-Route`, named as on the wire.
 #[derive(Default)]
-struct Figures {
+struct Route {
     home: u64,
     copies: u64,
     top: Option<u64>,
@@ -163,31 +167,33 @@
     at: Option<String>,
 }
 
-impl Figures {
-    fn read(text: &str) -> Result<Figures, &'static str> {
-        let mut out = Figures::default();
+impl Route {
+    fn parse(text: &str) -> Result<Route, &'static str> {
+        let mut route = Route::default();
         for part in text.split(';').map(str::trim).filter(|p| !p.is_empty()) {
-            let (name, value) = part.split_once(':').ok_or("a figure without a value")?;
-            let figure = |most| number(value, most).ok_or("a figure that is no number in range");
+            let (name, value) = part.split_once(':').ok_or("X-Route parameter without a value")?;
+            let parameter = |max| number(value, max).ok_or("X-Route parameter is not a number in range");
             match name {
-                "home" => out.home = figure(MOST_CELLS)?,
-                "copies" => out.copies = figure(MOST_CELLS)?,
-                "top" => out.top = Some(figure(1_000)?),
-                "again" => out.again = figure(1)? == 1,
-                "at" => out.at = Some(value.to_owned()),
-                // New figures may come; what is not known is passed over.
+                "home" => route.home = parameter(MAX_CELLS)?,
+                "copies" => route.copies = parameter(MAX_CELLS)?,
+                "top" => route.top = Some(parameter(1_000)?),
+                "again" => route.again = parameter(1)? == 1,
+                "at" => route.at = Some(value.to_owned()),
+                // Unknown parameters are ignored, for forward compatibility.
                 _ => {}
             }
         }
-        Ok(out)
+        Ok(route)
     }
 }
 
-/// The final answer to a set-up; `description`: of the video server, for a session that stands.
+/// Encodes the final response to a set-up. `description` returns the video server's session description if the session
+/// has been established.
 pub fn setup_response<B>(sid: &str, answer: &Answer<B>, description: impl FnOnce(&B) -> Bytes) -> Bytes {
     match answer {
         Answer::Stream { answer, .. } => rtsp::response(200, "1", Some(sid), &[], &description(answer)),
-        // Nobody follows on the platform: an id that is held already is refused before the core sees it.
+        // On the platform no viewer joins the session of another: a session id in use is rejected before it
+        // reaches the session core.
         Answer::Follow(_) => rtsp::response(400, "1", Some(sid), &[], b""),
         Answer::Refused { after, .. } => refusal_response(sid, *after),
         Answer::Failed { late: true, .. } => rtsp::response(504, "1", Some(sid), &[], b""),
@@ -195,28 +201,29 @@
     }
 }
 
-/// A set-up fails, which claims nothing of whether it ran.
+/// Encodes the response to a set-up that failed and that may have been executed.
 pub fn failure_response(sid: &str) -> Bytes {
     rtsp::response(502, "1", Some(sid), &[], b"")
 }
 
-/// A refusal of a set-up of which it is proven that it never ran.
-pub fn refusal_response(sid: &str, after: Duration) -> Bytes {
-    let wait = [("Retry-After-Ms", after.as_millis().to_string())];
-    rtsp::response(503, "1", Some(sid), if after.is_zero() { &[] } else { &wait }, b"")
+/// Encodes the response to a set-up that is refused and certainly was not executed. `retry_after` zero leaves the header
+/// `Retry-After-Ms` out.
+pub fn refusal_response(sid: &str, retry_after: Duration) -> Bytes {
+    let header = [("Retry-After-Ms", retry_after.as_millis().to_string())];
+    rtsp::response(503, "1", Some(sid), if retry_after.is_zero() { &[] } else { &header }, b"")
 }
 
-/// What a message that can't be used gets. It claims nothing of any request.
+/// Encodes the response to an invalid message. It states nothing about any pending request.
 pub fn error_response(status: u16, to: &rtsp::ReplyTarget) -> Bytes {
     rtsp::response(status, to.cseq.as_deref().unwrap_or("0"), to.session.as_deref(), &[], b"")
 }
 
-/// A release towards a viewer.
+/// Encodes a release to a viewer, for one of the causes in [`crate::lines::cause`].
 pub fn release_request(sid: &str, cause: i64) -> Bytes {
     rtsp::request(Method::Teardown, "rtsp://media/session", "2", sid, &[("Reason", format!("cause={cause}"))])
 }
 
-/// A release was heard, or a test passed.
+/// Encodes the response 200 to a release or a ping.
 pub fn ok_response(cseq: &str, sid: Option<&str>) -> Bytes {
     rtsp::response(200, cseq, sid, &[], b"")
 }
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,4 +1,4 @@
-//! NODE_CONFIG and the settings in it: each field is used as it is written, or named with what is allowed.
+//! `NODE_CONFIG` and its settings: each field is applied, or rejected by name with the allowed values.
 
 mod fixtures;
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn every_field_is_used_as_it_is_written() {
+fn every_field_is_applied() {
     let s = site(full()).unwrap();
     let ms = Duration::from_millis;
     assert_eq!((s.connect_timeout, s.idle_close, s.peer_datagrams), (ms(250), ms(15_000), true));
@@ -38,36 +38,37 @@
     assert_eq!((paid.floor, paid.top, paid.live, paid.seats), (1, 2, true, 4));
     assert_eq!((clip.aim, clip.at_most_once, clip.worth, clip.scale), (ms(800), false, 0.5, 0.5));
     assert_eq!((clip.floor, clip.top, clip.live, clip.seats), (0, 9, false, 0));
-    let r = s.rules;
+    let rules = s.rules;
     assert_eq!(
-        (r.cold, r.cold_from, r.fall_multiple, r.fall_span, r.ask_within),
+        (rules.cold, rules.cold_from, rules.fall_multiple, rules.fall_span, rules.ask_within),
         (ms(10_000), 0.2, 2.0, ms(1_000), ms(1_000))
     );
-    let ration = r.ration.unwrap();
+    let ration = rules.ration.unwrap();
     assert_eq!((ration.free, ration.share, ration.span), (3.0, 0.1, ms(10_000)));
 }
 
 #[test]
-fn what_may_be_left_out_has_a_meaning_of_its_own() {
+fn optional_fields_have_defaults() {
     let ms = Duration::from_millis;
     let s = site(json!({"grades": [{"name": "clip", "effect": "idempotent", "deadline": 2000}],
         "domain": {"level-kb": [200.0]}}));
     let s = s.unwrap();
-    // Guards a site without these: no connection came up in no time, no attempt was allowed, and each was over at once.
+    // Guards against zeros where fields are absent: connects timed out at once, no attempt was allowed, and attempts
+    // ended as soon as they began.
     assert_eq!((s.connect_timeout, s.settings.limits.attempts), (ms(1_000), 1));
-    assert_eq!(s.settings.classes[0].aim, ms(2_000), "the deadline is aimed at");
+    assert_eq!(s.settings.classes[0].aim, ms(2_000), "the deadline is the target");
     assert_eq!((s.settings.classes[0].scale, s.settings.classes[0].top, s.settings.join), (1.0, 0, 1.0));
     assert!(s.settings.rules.ration.is_none() && s.settings.number.is_none());
     let s = site(json!({"grades": [{"name": "clip"}], "domain": {"level-kb": [200.0]},
         "limits": {"connect-timeout": 0, "most-tries": 40}}));
     let s = s.unwrap();
     assert_eq!((s.connect_timeout, s.settings.limits.attempts), (ms(1_000), 16));
-    assert!(s.settings.classes[0].aim >= ms(3_600_000), "neither aim nor deadline");
+    assert!(s.settings.classes[0].aim >= ms(3_600_000), "neither target nor deadline");
 }
 
-/// Words that the platform may have more of: whoever is not known to be repeatable is not repeated, and that is said.
+/// The platform may add effects: a class with an unknown one is treated as at-most-once, and is reported.
 #[test]
-fn an_effect_that_is_not_known_is_taken_for_the_strictest_and_named() {
+fn an_unknown_effect_is_treated_as_at_most_once_and_reported() {
     let mut settings = full();
     settings["grades"][1]["effect"] = json!("keyed");
     let s = site(settings).unwrap();
@@ -76,8 +77,8 @@
 }
 
 #[test]
-fn a_figure_that_can_not_be_used_is_named_with_what_is_allowed() {
-    let figures = [
+fn an_invalid_number_is_rejected_by_name_with_its_range() {
+    let numbers = [
         ("/balancers", "`balancers`"),
         ("/index", "`index`"),
         ("/over-share-worth", "`over-share-worth`"),
@@ -112,19 +113,19 @@
         ("/limits/max-retry-after", "`limits.max-retry-after`"),
         ("/limits/most-tries", "`limits.most-tries`"),
     ];
-    for (path, field) in figures {
+    for (path, field) in numbers {
         for bad in [json!("x"), json!([1]), json!(true), json!(-1), json!(1e13), json!(1e300)] {
-            let got = fault(file(full()), &format!("/settings{path}"), bad.clone());
-            assert!(got.starts_with(&format!("settings: {field}: ")), "{path} {bad}: {got}");
+            let error = rejection(config_file(full()), &format!("/settings{path}"), bad.clone());
+            assert!(error.starts_with(&format!("settings: {field}: ")), "{path} {bad}: {error}");
             if bad.is_number() {
-                assert!(got.contains(" is not ") && got.contains('1'), "the range: {got}");
+                assert!(error.contains(" is not ") && error.contains('1'), "no range: {error}");
             }
         }
     }
-    // What JSON has no number for, and what stands for one elsewhere.
+    // Values that are not JSON numbers.
     for bad in ["NaN", "1e999", "-Infinity"] {
-        let text = file(full()).to_string().replace("\"index\":7", &format!("\"index\":{bad}"));
-        let got = config::read(&text).unwrap_err().to_string();
-        assert!(got.starts_with("settings"), "{bad}: {got}");
+        let text = config_file(full()).to_string().replace("\"index\":7", &format!("\"index\":{bad}"));
+        let error = config::read(&text).unwrap_err().to_string();
+        assert!(error.starts_with("settings"), "{bad}: {error}");
     }
 }
--- a/crates/platform/tests/deployments.rs
+++ b/crates/platform/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Deployments that nobody fitted the program to: each is read, and driven through the session core with the decision
-//! module. One leaves nothing behind for the next.
+//! Randomly generated deployments: each is parsed and simulated with the session core and the decision module. State of
+//! one must not leak into another.
 
 mod random_deployment;
 
@@ -7,36 +7,36 @@
 
 const STEPS: usize = 400;
 
-fn lived(seed: u64) -> Front {
+fn run(seed: u64) -> Front {
     let mut front = Front::new(seed);
-    (0..STEPS).for_each(|_| front.goes_on());
-    front.stops();
+    (0..STEPS).for_each(|_| front.step());
+    front.finish();
     front
 }
 
 #[test]
-fn every_request_of_any_deployment_gets_one_answer_within_the_rules() {
-    let lives: Vec<_> = (0..60).map(lived).collect();
-    let answers: usize = lives.iter().map(|f| f.answers).sum();
-    let served: usize = lives.iter().map(|f| f.streams).sum();
-    // Else little of what is looked at would have happened.
+fn every_request_in_any_deployment_gets_one_valid_answer() {
+    let fronts: Vec<_> = (0..60).map(run).collect();
+    let answers: usize = fronts.iter().map(|f| f.answers).sum();
+    let served: usize = fronts.iter().map(|f| f.streams).sum();
+    // With fewer, the checks would have covered little.
     assert!(answers > 8_000 && served > 800, "{served} served of {answers}");
 }
 
 #[test]
-fn a_deployment_leaves_nothing_behind_for_the_next() {
+fn deployments_do_not_affect_each_other() {
     for seed in 0..8 {
         let (a, b) = (seed, seed + 1_000);
-        let alone = lived(b).transcript();
-        lived(a);
-        assert!(lived(b).transcript() == alone, "{b} after {a}");
+        let alone = run(b).transcript();
+        run(a);
+        assert!(run(b).transcript() == alone, "{b} after {a}");
         let (mut first, mut second) = (Front::new(a), Front::new(b));
         for _ in 0..STEPS {
-            first.goes_on();
-            second.goes_on();
+            first.step();
+            second.step();
         }
-        second.stops();
-        assert!(second.transcript() == alone, "{b} beside {a}");
+        second.finish();
+        assert!(second.transcript() == alone, "{b} interleaved with {a}");
         assert!(!alone.is_empty());
     }
 }
--- a/crates/platform/tests/early_releases.rs
+++ b/crates/platform/tests/early_releases.rs
@@ -1,4 +1,4 @@
-//! Releases that come before their sessions stand.
+//! Releases that arrive before their sessions are established.
 
 use cloverhollow_platform::early_releases::{EarlyReleases, MAX_EARLY_RELEASES, RETENTION};
 use cloverhollow_session::{AttemptId, Sid};
@@ -16,40 +16,40 @@
     AttemptId { request: 1, number }
 }
 
-fn kept() -> EarlyReleases {
-    let mut early = EarlyReleases::default();
-    early.insert(NOW, "a".into(), process(1), Some(attempt(0)), CAUSE);
-    early
+fn with_one_release() -> EarlyReleases {
+    let mut releases = EarlyReleases::default();
+    releases.insert(NOW, "a".into(), process(1), Some(attempt(0)), CAUSE);
+    releases
 }
 
 #[test]
-fn one_counts_once_for_the_process_that_said_it_and_for_so_long() {
-    assert_eq!(kept().take(NOW, "a", process(1)), Some(CAUSE));
-    assert_eq!(kept().take(NOW, "b", process(1)), None);
-    assert_eq!(kept().take(NOW, "a", process(2)), None, "another process");
-    assert_eq!(kept().take(NOW + RETENTION, "a", process(1)), None, "too old");
-    let mut early = kept();
-    early.take(NOW, "a", process(1));
-    assert_eq!(early.take(NOW, "a", process(1)), None, "once");
+fn a_release_is_returned_once_to_its_process_within_the_retention_time() {
+    assert_eq!(with_one_release().take(NOW, "a", process(1)), Some(CAUSE));
+    assert_eq!(with_one_release().take(NOW, "b", process(1)), None);
+    assert_eq!(with_one_release().take(NOW, "a", process(2)), None, "another process");
+    assert_eq!(with_one_release().take(NOW + RETENTION, "a", process(1)), None, "expired");
+    let mut releases = with_one_release();
+    releases.take(NOW, "a", process(1));
+    assert_eq!(releases.take(NOW, "a", process(1)), None, "already taken");
 }
 
 #[test]
-fn one_of_an_attempt_that_failed_does_not_end_the_session_of_the_next() {
-    let mut early = kept();
-    early.attempt_ended(attempt(1));
-    early.attempt_ended(attempt(0));
-    assert_eq!(early.take(NOW, "a", process(1)), None);
+fn a_release_of_a_failed_attempt_does_not_end_the_next_session() {
+    let mut releases = with_one_release();
+    releases.attempt_ended(attempt(1));
+    releases.attempt_ended(attempt(0));
+    assert_eq!(releases.take(NOW, "a", process(1)), None);
 }
 
 #[test]
-fn past_the_bound_the_oldest_goes() {
-    let mut early = EarlyReleases::default();
+fn the_oldest_release_is_evicted_at_the_limit() {
+    let mut releases = EarlyReleases::default();
     let sid = |n: usize| Sid::from(format!("{n:016x}"));
     for n in 0..=MAX_EARLY_RELEASES {
-        early.insert(NOW + Duration::from_micros(n as u64), sid(n), process(1), None, CAUSE);
+        releases.insert(NOW + Duration::from_micros(n as u64), sid(n), process(1), None, CAUSE);
     }
     let later = NOW + Duration::from_secs(1);
-    assert_eq!(early.take(later, &sid(0), process(1)), None);
-    assert_eq!(early.take(later, &sid(1), process(1)), Some(CAUSE));
-    assert_eq!(early.take(later, &sid(MAX_EARLY_RELEASES), process(1)), Some(CAUSE));
+    assert_eq!(releases.take(later, &sid(0), process(1)), None);
+    assert_eq!(releases.take(later, &sid(1), process(1)), Some(CAUSE));
+    assert_eq!(releases.take(later, &sid(MAX_EARLY_RELEASES), process(1)), Some(CAUSE));
 }
--- a/crates/platform/tests/link_monitor.rs
+++ b/crates/platform/tests/link_monitor.rs
@@ -1,176 +1,201 @@
-//! Connections to video servers: which stay, what is opened again, when a server's sessions are taken for cut.
+//! Connections to video servers: which stay open, when they are reopened, and when the sessions at a server count as
+//! lost.
 
 use cloverhollow_platform::link_monitor::{LinkAction, LinkEndReason, LinkId, LinkMonitor};
 use std::time::Duration;
 
-const S: u64 = 7;
-const NOTES: Duration = Duration::from_millis(2_500);
+const SERVER: u64 = 7;
+const REPORT_INTERVAL: Duration = Duration::from_millis(2_500);
 const IDLE_CLOSE: Duration = Duration::from_secs(15);
 
 fn at(ms: u64) -> Duration {
     Duration::from_secs(100) + Duration::from_millis(ms)
 }
 
-/// A server with one connection that is up and idle since `at(0)`, where a session stands.
-fn standing() -> LinkMonitor {
-    let mut w = LinkMonitor::new(NOTES, IDLE_CLOSE, 8);
-    w.link_opening(S, LinkId(1));
-    w.link_up(at(0), S);
-    w.link_idle(at(0), S, LinkId(1));
-    w.session_established(at(0), S);
-    w
+/// A server with an established session and one link, which is up and idle since `at(0)`.
+fn with_session() -> LinkMonitor {
+    let mut monitor = LinkMonitor::new(REPORT_INTERVAL, IDLE_CLOSE, 8);
+    monitor.link_opening(SERVER, LinkId(1));
+    monitor.link_up(at(0), SERVER);
+    monitor.link_idle(at(0), SERVER, LinkId(1));
+    monitor.session_established(at(0), SERVER);
+    monitor
 }
 
-fn due(w: &mut LinkMonitor, ms: u64) -> Vec<LinkAction> {
-    w.poll(at(ms), |_| true)
+fn poll(monitor: &mut LinkMonitor, ms: u64) -> Vec<LinkAction> {
+    monitor.poll(at(ms), |_| true)
 }
 
 #[test]
-fn the_newest_connection_stays_while_anything_stands_and_others_go() {
-    let mut w = standing();
-    w.link_opening(S, LinkId(2));
-    assert_eq!(w.idle_link(S), Some(LinkId(1)), "one with a set-up open is not used for others");
-    w.link_idle(at(100), S, LinkId(2));
-    assert_eq!(w.idle_link(S), Some(LinkId(2)));
-    w.message_received(at(2_000), S);
-    assert_eq!(due(&mut w, 2_000), [LinkAction::Close(LinkId(1))]);
-    w.link_closing(S, LinkId(1));
-    w.message_received(at(60_000), S);
-    assert_eq!(due(&mut w, 60_000), []);
-    assert_eq!(w.poll(at(60_000), |_| false), [LinkAction::Close(LinkId(2))], "nothing stands any more");
+fn the_newest_link_stays_open_while_sessions_are_established() {
+    let mut monitor = with_session();
+    monitor.link_opening(SERVER, LinkId(2));
+    assert_eq!(
+        monitor.idle_link(SERVER),
+        Some(LinkId(1)),
+        "a link with a pending set-up is not used for messages"
+    );
+    monitor.link_idle(at(100), SERVER, LinkId(2));
+    assert_eq!(monitor.idle_link(SERVER), Some(LinkId(2)));
+    monitor.message_received(at(2_000), SERVER);
+    assert_eq!(poll(&mut monitor, 2_000), [LinkAction::Close(LinkId(1))]);
+    monitor.link_closing(SERVER, LinkId(1));
+    monitor.message_received(at(60_000), SERVER);
+    assert_eq!(poll(&mut monitor, 60_000), []);
+    assert_eq!(
+        monitor.poll(at(60_000), |_| false),
+        [LinkAction::Close(LinkId(2))],
+        "no session is established any more"
+    );
 }
 
 #[test]
-fn a_set_up_goes_on_a_connection_that_is_idle_and_lately_heard_of() {
-    let mut w = standing();
-    assert_eq!(w.take_for_setup(at(900), S, true), Some(LinkId(1)));
-    assert_eq!(w.take_for_setup(at(900), S, false), None, "one set-up at a time");
-    w.link_idle(at(950), S, LinkId(1));
+fn a_set_up_uses_a_link_that_is_idle_and_recently_active() {
+    let mut monitor = with_session();
+    assert_eq!(monitor.take_for_setup(at(900), SERVER, true), Some(LinkId(1)));
+    assert_eq!(monitor.take_for_setup(at(900), SERVER, false), None, "one set-up at a time");
+    monitor.link_idle(at(950), SERVER, LinkId(1));
     assert_eq!(
-        w.take_for_setup(at(1_100), S, true),
+        monitor.take_for_setup(at(1_100), SERVER, true),
         None,
-        "nothing was heard for too long, and it may run once only"
+        "silent for too long for an at-most-once set-up"
+    );
+    assert_eq!(monitor.take_for_setup(at(1_100), SERVER, false), Some(LinkId(1)));
+    monitor.link_idle(at(1_200), SERVER, LinkId(1));
+    monitor.message_received(at(3_100), SERVER);
+    assert_eq!(
+        monitor.take_for_setup(at(3_200), SERVER, true),
+        Some(LinkId(1)),
+        "the server sent something again"
+    );
+    monitor.link_idle(at(3_300), SERVER, LinkId(1));
+    monitor.message_received(at(16_000), SERVER);
+    assert_eq!(monitor.take_for_setup(at(16_000), SERVER, false), None, "the server is about to close it");
+    assert_eq!(
+        monitor.poll(at(16_000), |_| false),
+        [LinkAction::Close(LinkId(1))],
+        "no session is established"
     );
-    assert_eq!(w.take_for_setup(at(1_100), S, false), Some(LinkId(1)));
-    w.link_idle(at(1_200), S, LinkId(1));
-    w.message_received(at(3_100), S);
-    assert_eq!(w.take_for_setup(at(3_200), S, true), Some(LinkId(1)), "it was heard of again");
-    w.link_idle(at(3_300), S, LinkId(1));
-    w.message_received(at(16_000), S);
-    assert_eq!(w.take_for_setup(at(16_000), S, false), None, "its server is about to close it");
-    assert_eq!(w.poll(at(16_000), |_| false), [LinkAction::Close(LinkId(1))], "nothing stands there");
 }
 
 #[test]
-fn where_a_connection_did_not_come_up_none_that_is_there_is_trusted() {
-    for down in [LinkEndReason::Refused, LinkEndReason::ConnectTimeout] {
-        let mut w = standing();
-        w.link_opening(S, LinkId(2));
-        w.link_down(at(300), S, LinkId(2), down);
-        assert_eq!(w.take_for_setup(at(400), S, false), None, "{down:?}");
-        w.message_received(at(500), S);
-        assert_eq!(w.take_for_setup(at(500), S, true), Some(LinkId(1)), "a word of it: {down:?}");
+fn no_existing_link_is_used_after_a_failed_connect() {
+    for reason in [LinkEndReason::Refused, LinkEndReason::ConnectTimeout] {
+        let mut monitor = with_session();
+        monitor.link_opening(SERVER, LinkId(2));
+        monitor.link_down(at(300), SERVER, LinkId(2), reason);
+        assert_eq!(monitor.take_for_setup(at(400), SERVER, false), None, "{reason:?}");
+        monitor.message_received(at(500), SERVER);
+        assert_eq!(
+            monitor.take_for_setup(at(500), SERVER, true),
+            Some(LinkId(1)),
+            "usable again after a message: {reason:?}"
+        );
     }
 }
 
 #[test]
-fn idle_connections_are_bounded_the_oldest_closed_first() {
-    let mut w = LinkMonitor::new(NOTES, IDLE_CLOSE, 2);
+fn idle_links_are_bounded_and_the_oldest_closed_first() {
+    let mut monitor = LinkMonitor::new(REPORT_INTERVAL, IDLE_CLOSE, 2);
     for i in 1..=4 {
-        w.link_opening(i, LinkId(i));
-        w.link_up(at(i), i);
-        w.link_idle(at(i), i, LinkId(i));
+        monitor.link_opening(i, LinkId(i));
+        monitor.link_up(at(i), i);
+        monitor.link_idle(at(i), i, LinkId(i));
     }
-    assert_eq!(w.poll(at(10), |_| false), [LinkAction::Close(LinkId(1)), LinkAction::Close(LinkId(2))]);
+    assert_eq!(monitor.poll(at(10), |_| false), [LinkAction::Close(LinkId(1)), LinkAction::Close(LinkId(2))]);
     assert_eq!(
-        w.poll(at(10), |server| server == 2),
+        monitor.poll(at(10), |server| server == 2),
         [LinkAction::Close(LinkId(1))],
-        "one where sessions stand does not count"
+        "the link to a server with sessions does not count"
     );
 }
 
 #[test]
-fn a_connection_that_broke_is_opened_again_with_back_off() {
-    let mut w = standing();
-    w.link_down(at(10), S, LinkId(1), LinkEndReason::Disconnected);
-    assert_eq!(due(&mut w, 50), []);
-    assert_eq!(due(&mut w, 120), [LinkAction::Open(S)]);
-    w.link_opening(S, LinkId(2));
-    assert_eq!(due(&mut w, 130), [], "one is being made");
-    w.link_down(at(140), S, LinkId(2), LinkEndReason::Disconnected);
-    assert_eq!((due(&mut w, 300), due(&mut w, 350)), (vec![], vec![LinkAction::Open(S)]), "twice as long");
+fn a_lost_link_is_reopened_with_back_off() {
+    let mut monitor = with_session();
+    monitor.link_down(at(10), SERVER, LinkId(1), LinkEndReason::Disconnected);
+    assert_eq!(poll(&mut monitor, 50), []);
+    assert_eq!(poll(&mut monitor, 120), [LinkAction::Open(SERVER)]);
+    monitor.link_opening(SERVER, LinkId(2));
+    assert_eq!(poll(&mut monitor, 130), [], "a link is being opened");
+    monitor.link_down(at(140), SERVER, LinkId(2), LinkEndReason::Disconnected);
+    assert_eq!(
+        (poll(&mut monitor, 300), poll(&mut monitor, 350)),
+        (vec![], vec![LinkAction::Open(SERVER)]),
+        "twice the delay"
+    );
 }
 
 #[test]
-fn a_process_that_refuses_twice_has_cut_its_sessions() {
-    let mut w = standing();
-    w.link_down(at(10), S, LinkId(1), LinkEndReason::Disconnected);
+fn two_refused_connects_end_the_sessions() {
+    let mut monitor = with_session();
+    monitor.link_down(at(10), SERVER, LinkId(1), LinkEndReason::Disconnected);
     for (n, ms) in [(2, 120), (3, 400)] {
-        assert_eq!(due(&mut w, ms), [LinkAction::Open(S)]);
-        w.link_opening(S, LinkId(n));
-        w.link_down(at(ms + 1), S, LinkId(n), LinkEndReason::Refused);
+        assert_eq!(poll(&mut monitor, ms), [LinkAction::Open(SERVER)]);
+        monitor.link_opening(SERVER, LinkId(n));
+        monitor.link_down(at(ms + 1), SERVER, LinkId(n), LinkEndReason::Refused);
     }
-    assert_eq!(due(&mut w, 402), [LinkAction::EndSessions(S)]);
+    assert_eq!(poll(&mut monitor, 402), [LinkAction::EndSessions(SERVER)]);
 }
 
 #[test]
-fn one_that_comes_up_again_has_not() {
-    let mut w = standing();
-    w.link_down(at(10), S, LinkId(1), LinkEndReason::Disconnected);
-    w.link_opening(S, LinkId(2));
-    w.link_down(at(120), S, LinkId(2), LinkEndReason::Refused);
-    w.link_opening(S, LinkId(3));
-    w.link_up(at(400), S);
-    w.link_down(at(410), S, LinkId(3), LinkEndReason::Refused);
-    assert!(!due(&mut w, 3_000).contains(&LinkAction::EndSessions(S)));
+fn a_successful_connect_resets_the_count_of_refusals() {
+    let mut monitor = with_session();
+    monitor.link_down(at(10), SERVER, LinkId(1), LinkEndReason::Disconnected);
+    monitor.link_opening(SERVER, LinkId(2));
+    monitor.link_down(at(120), SERVER, LinkId(2), LinkEndReason::Refused);
+    monitor.link_opening(SERVER, LinkId(3));
+    monitor.link_up(at(400), SERVER);
+    monitor.link_down(at(410), SERVER, LinkId(3), LinkEndReason::Refused);
+    assert!(!poll(&mut monitor, 3_000).contains(&LinkAction::EndSessions(SERVER)));
 }
 
 #[test]
-fn a_silent_machine_is_looked_at_and_taken_for_gone_when_nothing_comes_up() {
-    let mut w = standing();
-    assert_eq!(due(&mut w, 2_400), [], "its next note is not due yet");
+fn a_silent_server_is_probed_and_its_sessions_end_if_connects_time_out() {
+    let mut monitor = with_session();
+    assert_eq!(poll(&mut monitor, 2_400), [], "its next report is not due yet");
     let mut ms = 3_600;
-    assert_eq!(due(&mut w, ms), [LinkAction::Open(S)], "it should have said something by now");
+    assert_eq!(poll(&mut monitor, ms), [LinkAction::Open(SERVER)], "its report is overdue");
     for n in 2..20 {
-        w.link_opening(S, LinkId(n));
+        monitor.link_opening(SERVER, LinkId(n));
         ms += 250;
-        w.link_down(at(ms), S, LinkId(n), LinkEndReason::ConnectTimeout);
+        monitor.link_down(at(ms), SERVER, LinkId(n), LinkEndReason::ConnectTimeout);
         loop {
             ms += 50;
-            match due(&mut w, ms)[..] {
+            match poll(&mut monitor, ms)[..] {
                 [] => {}
-                [LinkAction::Open(S)] => break,
-                [LinkAction::EndSessions(S)] => {
-                    return assert!(ms < 8_000, "its clients are told within the platform's time: {ms}")
+                [LinkAction::Open(SERVER)] => break,
+                [LinkAction::EndSessions(SERVER)] => {
+                    return assert!(ms < 8_000, "viewers are notified within the platform's limit: {ms} ms")
                 }
                 ref other => panic!("{other:?}"),
             }
         }
     }
-    panic!("never taken for gone");
+    panic!("the sessions never ended");
 }
 
 #[test]
-fn one_that_is_only_quiet_is_left_alone() {
-    let mut w = standing();
-    assert_eq!(due(&mut w, 3_600), [LinkAction::Open(S)]);
-    w.link_opening(S, LinkId(2));
-    w.link_up(at(3_610), S);
-    w.link_idle(at(3_610), S, LinkId(2));
-    assert_eq!(due(&mut w, 3_650), [LinkAction::Close(LinkId(1))], "the newer one stays");
-    // A connection that did not come up, and then a word on an old one.
-    w.link_opening(S, LinkId(3));
-    w.link_down(at(4_000), S, LinkId(3), LinkEndReason::ConnectTimeout);
-    w.message_received(at(4_100), S);
-    assert!(!due(&mut w, 6_500).contains(&LinkAction::EndSessions(S)));
+fn a_silent_server_that_accepts_connections_keeps_its_sessions() {
+    let mut monitor = with_session();
+    assert_eq!(poll(&mut monitor, 3_600), [LinkAction::Open(SERVER)]);
+    monitor.link_opening(SERVER, LinkId(2));
+    monitor.link_up(at(3_610), SERVER);
+    monitor.link_idle(at(3_610), SERVER, LinkId(2));
+    assert_eq!(poll(&mut monitor, 3_650), [LinkAction::Close(LinkId(1))], "the newer link stays");
+    // A connect that timed out, and then a message on an older link.
+    monitor.link_opening(SERVER, LinkId(3));
+    monitor.link_down(at(4_000), SERVER, LinkId(3), LinkEndReason::ConnectTimeout);
+    monitor.message_received(at(4_100), SERVER);
+    assert!(!poll(&mut monitor, 6_500).contains(&LinkAction::EndSessions(SERVER)));
 }
 
 #[test]
-fn what_this_process_could_not_open_says_nothing_of_the_server() {
-    let mut w = standing();
+fn local_errors_do_not_end_the_sessions() {
+    let mut monitor = with_session();
     for n in 2..9 {
-        w.link_opening(S, LinkId(n));
-        w.link_down(at(n * 900), S, LinkId(n), LinkEndReason::LocalError);
+        monitor.link_opening(SERVER, LinkId(n));
+        monitor.link_down(at(n * 900), SERVER, LinkId(n), LinkEndReason::LocalError);
     }
-    assert!(!due(&mut w, 9_000).contains(&LinkAction::EndSessions(S)));
+    assert!(!poll(&mut monitor, 9_000).contains(&LinkAction::EndSessions(SERVER)));
 }
--- a/crates/platform/tests/random_deployment/checks.rs
+++ b/crates/platform/tests/random_deployment/checks.rs
@@ -1,75 +1,106 @@
-//! Each command of the core looked at by the rules.
+//! Checks on each command of the session core.
 
-use super::front::{Front, Held};
+use super::front::{Front, SessionState};
 use cloverhollow_session::*;
 
 impl Front {
     pub(super) fn carry_out(&mut self, command: Command<u32, ()>) {
-        let set = &self.site.settings;
+        let settings = &self.site.settings;
         match command {
             Command::Send(s) => {
-                let h = &self.held[&s.sid];
-                let class = &set.classes[h.class];
-                assert!(h.out.is_none() && !h.plays, "rule 2: two out for {}", s.sid);
-                assert!(!(class.at_most_once && h.ran), "rule 2: {} may have run", s.sid);
-                assert!(s.attempt.number < set.limits.attempts, "{} of {}", s.attempt, set.limits.attempts);
-                assert_eq!(self.states.get(&s.server), Some(&WireState::Serving), "rule 3: {}", s.server);
-                let top = class.top.min(h.top).min(set.ladder.len() - 1);
+                let session = &self.sessions[&s.sid];
+                let class = &settings.classes[session.class];
                 assert!(
-                    (class.floor..=top).contains(&s.rung),
-                    "rule 5: rung {} of {}..={top}",
+                    session.attempt.is_none() && !session.playing,
+                    "second concurrent attempt for {}",
+                    s.sid
+                );
+                assert!(
+                    !(class.at_most_once && session.possibly_executed),
+                    "retry of {}, which may have been executed",
+                    s.sid
+                );
+                assert!(
+                    s.attempt.number < settings.limits.attempts,
+                    "attempt {}, maximum {}",
+                    s.attempt,
+                    settings.limits.attempts
+                );
+                assert_eq!(
+                    self.states.get(&s.server),
+                    Some(&WireState::Serving),
+                    "attempt at server {}, which is not in service",
+                    s.server
+                );
+                let max_rung = class.top.min(session.top).min(settings.ladder.len() - 1);
+                assert!(
+                    (class.floor..=max_rung).contains(&s.rung),
+                    "rung {} is outside {}..={max_rung}",
                     s.rung,
                     class.floor
                 );
-                let alike =
-                    |o: &&Held| (o.title, o.class) == (h.title, h.class) && (o.plays || o.out.is_some());
-                let taken = self.held.values().filter(alike).count();
-                assert!(class.seats == 0 || taken < class.seats, "rule 5: {taken} of {} seats", class.seats);
-                self.held.get_mut(&s.sid).unwrap().out = Some((s.attempt, self.rng.bool()));
+                let same_title = |o: &&SessionState| {
+                    (o.title, o.class) == (session.title, session.class) && (o.playing || o.attempt.is_some())
+                };
+                let taken = self.sessions.values().filter(same_title).count();
+                assert!(
+                    class.seats == 0 || taken < class.seats,
+                    "{taken} of {} seats are taken",
+                    class.seats
+                );
+                self.sessions.get_mut(&s.sid).unwrap().attempt = Some((s.attempt, self.rng.bool()));
             }
             Command::Recall { attempt, why } => {
-                let out = self.held.values().find_map(|h| h.out.filter(|(a, _)| *a == attempt));
-                match (out, why) {
+                let open = self.sessions.values().find_map(|h| h.attempt.filter(|(a, _)| *a == attempt));
+                match (open, why) {
                     (None, _) | (Some((_, true)), RecallWhy::Drained) => {}
                     (Some((_, true)), _) => self.ended(attempt, AttemptEnd::Unanswered),
                     (Some((_, false)), _) => self.ended(attempt, AttemptEnd::NeverSent),
                 }
             }
             Command::Answer { viewer, answer } => {
-                if self.left.remove(&viewer) {
+                if self.disconnected.remove(&viewer) {
                     return;
                 }
-                let of = |h: &Held| h.waits.is_some_and(|(v, _)| v == viewer);
-                let found = self.held.iter_mut().find(|(_, h)| of(h));
-                let (sid, h) = found.expect("rule 1: an answer to one who does not wait");
-                h.waits = None;
+                let is_match = |h: &SessionState| h.waiting.is_some_and(|(v, _)| v == viewer);
+                let found = self.sessions.iter_mut().find(|(_, h)| is_match(h));
+                let (sid, session) = found.expect("response to a viewer that does not wait");
+                session.waiting = None;
                 self.answers += 1;
                 self.streams += usize::from(matches!(answer, Answer::Stream { .. }));
-                assert_eq!(matches!(answer, Answer::Stream { .. }), h.plays, "served is who plays: {sid}");
-                if !h.plays {
+                assert_eq!(
+                    matches!(answer, Answer::Stream { .. }),
+                    session.playing,
+                    "response does not match the state of {sid}"
+                );
+                if !session.playing {
                     let sid = sid.clone();
-                    self.held.remove(&sid);
+                    self.sessions.remove(&sid);
                 }
             }
-            Command::Over { sid, .. } => drop(self.held.remove(&sid)),
+            Command::Over { sid, .. } => drop(self.sessions.remove(&sid)),
             Command::Rung { sid, rung, .. } => {
-                let h = &self.held[&sid];
-                let class = &set.classes[h.class];
-                let top = class.top.min(h.top).min(set.ladder.len() - 1);
-                assert!(h.adopted || (class.floor..=top).contains(&rung), "rule 5: rung {rung}");
+                let session = &self.sessions[&sid];
+                let class = &settings.classes[session.class];
+                let max_rung = class.top.min(session.top).min(settings.ladder.len() - 1);
+                assert!(
+                    session.adopted || (class.floor..=max_rung).contains(&rung),
+                    "rung {rung} is out of range"
+                );
             }
             Command::Keep(_) | Command::Merged { .. } | Command::Release { .. } => {}
         }
     }
 
     pub(super) fn ended(&mut self, attempt: AttemptId, end: AttemptEnd) {
-        let of = |h: &Held| h.out.is_some_and(|(a, _)| a == attempt);
-        let Some((sid, h)) = self.held.iter_mut().find(|(_, h)| of(h)) else { return };
-        h.out = None;
-        h.ran |= matches!(end, AttemptEnd::Reset | AttemptEnd::Error { .. } | AttemptEnd::Unanswered);
-        let (sid, nobody) = (sid.clone(), h.waits.is_none());
-        if nobody {
-            self.held.remove(&sid);
+        let is_match = |h: &SessionState| h.attempt.is_some_and(|(a, _)| a == attempt);
+        let Some((sid, session)) = self.sessions.iter_mut().find(|(_, h)| is_match(h)) else { return };
+        session.attempt = None;
+        session.possibly_executed |=
+            matches!(end, AttemptEnd::Reset | AttemptEnd::Error { .. } | AttemptEnd::Unanswered);
+        let (sid, disconnected) = (sid.clone(), session.waiting.is_none());
+        if disconnected {
+            self.sessions.remove(&sid);
         }
         self.inputs.push(Input::AttemptEnded { attempt, end, load: Load::default() });
     }
--- a/crates/platform/tests/random_deployment/front.rs
+++ b/crates/platform/tests/random_deployment/front.rs
@@ -1,4 +1,4 @@
-//! A front of a drawn deployment: drawn requests, events of the list, answers and time-outs.
+//! A simulated front of a random deployment: random requests, list events, responses and time-outs.
 
 use cloverhollow::{Brain, Note};
 use cloverhollow_hints::{Contradictions, Faults};
@@ -17,18 +17,18 @@
     Duration::from_millis(n)
 }
 
-/// A session that is being set up or plays.
-pub(super) struct Held {
+/// A session that is being set up or is playing.
+pub(super) struct SessionState {
     pub(super) title: u64,
     pub(super) class: usize,
     pub(super) top: usize,
-    /// Who waits, and until when.
-    pub(super) waits: Option<(ViewerId, Duration)>,
-    /// An attempt is out, and whether its first byte went.
-    pub(super) out: Option<(AttemptId, bool)>,
-    pub(super) plays: bool,
-    pub(super) ran: bool,
-    /// Its rung was not chosen here.
+    /// The waiting viewer and its deadline.
+    pub(super) waiting: Option<(ViewerId, Duration)>,
+    /// The open attempt, and whether its first byte has been sent.
+    pub(super) attempt: Option<(AttemptId, bool)>,
+    pub(super) playing: bool,
+    pub(super) possibly_executed: bool,
+    /// True if the session was handed over, so that its rung was not chosen here.
     pub(super) adopted: bool,
 }
 
@@ -40,26 +40,26 @@
     now: Duration,
     next: u64,
     cursor: u64,
-    pub(super) held: BTreeMap<Sid, Held>,
+    pub(super) sessions: BTreeMap<Sid, SessionState>,
     pub(super) states: BTreeMap<u64, WireState>,
-    pub(super) left: BTreeSet<ViewerId>,
+    pub(super) disconnected: BTreeSet<ViewerId>,
     pub(super) inputs: Vec<In>,
-    told: Arc<Mutex<Vec<String>>>,
+    transcript: Arc<Mutex<Vec<String>>>,
     pub answers: usize,
     pub streams: usize,
 }
 
 impl Front {
     pub fn new(seed: u64) -> Front {
-        let written = super::settings(seed);
-        let site = settings::read(written.clone()).unwrap_or_else(|e| panic!("{e} of {written}"));
+        let json = super::settings(seed);
+        let site = settings::read(json.clone()).unwrap_or_else(|e| panic!("{e} in {json}"));
         let mut core = Core::new(Brain::new(site.settings.clone(), seed), site.core_config(), seed);
-        let told = Arc::new(Mutex::new(Vec::new()));
-        let tap = told.clone();
+        let transcript = Arc::new(Mutex::new(Vec::new()));
+        let recorder = transcript.clone();
         core.set_tap(Box::new(move |now, events, actions| {
-            tap.lock().unwrap().push(format!("{now:?} {events:?} {actions:?}"));
+            recorder.lock().unwrap().push(format!("{now:?} {events:?} {actions:?}"));
         }));
-        let (directory, held, states, left) = Default::default();
+        let (directory, sessions, states, disconnected) = Default::default();
         let (rng, now) = (Rng::with_seed(seed ^ 0x5eed), ms(86_400_000));
         let (inputs, answers, streams) = (Vec::new(), 0, 0);
         let (next, cursor) = (0, 0);
@@ -71,67 +71,71 @@
             now,
             next,
             cursor,
-            held,
+            sessions,
             states,
-            left,
+            disconnected,
             inputs,
-            told,
+            transcript,
             answers,
             streams,
         }
     }
 
-    /// Each step of the decision module.
+    /// Input and output of the decision module at each step.
     pub fn transcript(&self) -> Vec<String> {
-        self.told.lock().unwrap().clone()
+        self.transcript.lock().unwrap().clone()
     }
 
-    /// Something happens, and all that is due.
-    pub fn goes_on(&mut self) {
+    /// Simulates one random event and everything that is due by then.
+    pub fn step(&mut self) {
         self.now += ms(self.rng.u64(0..40));
         self.settle();
         match self.rng.u8(0..20) {
-            0..=1 => self.lists(),
-            2..=8 => self.asks(),
-            9 => self.adopts(),
-            10 => self.hangs_up(),
-            11..=16 => self.ends(),
-            17 => self.over(),
-            18 => self.notes(),
+            0..=1 => self.list_event(),
+            2..=8 => self.viewer_requests(),
+            9 => self.hand_over(),
+            10 => self.disconnect(),
+            11..=16 => self.attempt_event(),
+            17 => self.session_end(),
+            18 => self.session_report(),
             _ => self.now += ms(self.rng.u64(0..1_500)),
         }
         self.settle();
-        let late = self.held.iter().find(|(_, h)| h.waits.is_some_and(|(_, until)| until < self.now));
-        assert!(late.is_none(), "rule 1: {:?} has no answer", late.map(|(sid, _)| sid));
+        let overdue =
+            self.sessions.iter().find(|(_, h)| h.waiting.is_some_and(|(_, until)| until < self.now));
+        assert!(overdue.is_none(), "{:?} got no response in time", overdue.map(|(sid, _)| sid));
     }
 
-    /// Nothing comes any more: all are answered.
-    pub fn stops(&mut self) {
+    /// Ends all attempts and lets time pass, so that every viewer gets its response.
+    pub fn finish(&mut self) {
         for _ in 0..8 {
-            while let Some((attempt, _)) = self.held.values().find_map(|h| h.out) {
+            while let Some((attempt, _)) = self.sessions.values().find_map(|h| h.attempt) {
                 self.ended(attempt, AttemptEnd::Reset);
                 self.settle();
             }
             self.now += ms(2_000);
             self.settle();
         }
-        assert!(self.held.values().all(|h| h.waits.is_none() && h.out.is_none()), "rule 1: somebody waits");
-        assert_eq!(self.core.held(), self.held.len());
+        assert!(
+            self.sessions.values().all(|h| h.waiting.is_none() && h.attempt.is_none()),
+            "a viewer or an attempt is left"
+        );
+        assert_eq!(self.core.held(), self.sessions.len());
     }
 
     fn settle(&mut self) {
         while !self.inputs.is_empty() || self.core.next_due().is_some_and(|due| due <= self.now) {
             let inputs = std::mem::take(&mut self.inputs);
             let commands = self.core.step(self.now, inputs);
-            self.core.check().unwrap_or_else(|broken| panic!("{broken}"));
+            self.core.check().unwrap_or_else(|violation| panic!("{violation}"));
             commands.into_iter().for_each(|c| self.carry_out(c));
         }
-        self.left.clear();
+        self.disconnected.clear();
     }
 
-    fn lists(&mut self) {
+    fn list_event(&mut self) {
         self.cursor += 1;
-        let whole = self.cursor == 1 || self.rng.u8(0..8) == 0;
+        let snapshot = self.cursor == 1 || self.rng.u8(0..8) == 0;
         let names: BTreeSet<u64> = (0..self.rng.usize(1..8)).map(|_| self.rng.u64(0..12)).collect();
         let kinds = self.site.names.kinds.clone();
         let entry = |n: &u64| {
@@ -144,14 +148,14 @@
                 "since_ms": self.rng.choice(&[0u64, 0, 999_000]).unwrap()})
         };
         let entries: Vec<Value> = names.iter().map(entry).collect();
-        let event = json!({"cursor": self.cursor, "nodes": {"snapshot": whole, "endpoints": entries}});
-        let told = ServerDirectory::parse_update(&event.to_string()).unwrap();
-        let news = self.directory.apply(told, 1_000_000).unwrap().expect("news");
-        if whole {
+        let event = json!({"cursor": self.cursor, "nodes": {"snapshot": snapshot, "endpoints": entries}});
+        let update = ServerDirectory::parse_update(&event.to_string()).unwrap();
+        let list = self.directory.apply(update, 1_000_000).unwrap().expect("the event is new");
+        if snapshot {
             self.states.clear();
         }
-        self.states.extend(news.entries.iter().map(|e| (e.id, e.state)));
-        self.inputs.push(Input::List(news));
+        self.states.extend(list.entries.iter().map(|e| (e.id, e.state)));
+        self.inputs.push(Input::List(list));
     }
 
     fn arrival(&mut self, sid: &Sid, patience: Duration) -> Arrival<u32> {
@@ -174,74 +178,83 @@
         }
     }
 
-    fn holds(&mut self, a: &Arrival<u32>, waits: Option<(ViewerId, Duration)>) {
-        let (adopted, plays) = (waits.is_none(), waits.is_none());
-        let held =
-            Held { title: a.title, class: a.class, top: a.top, waits, out: None, plays, ran: plays, adopted };
-        self.held.insert(a.sid.clone(), held);
+    fn insert(&mut self, arrival: &Arrival<u32>, waiting: Option<(ViewerId, Duration)>) {
+        let (adopted, playing) = (waiting.is_none(), waiting.is_none());
+        let session = SessionState {
+            title: arrival.title,
+            class: arrival.class,
+            top: arrival.top,
+            waiting,
+            attempt: None,
+            playing,
+            possibly_executed: playing,
+            adopted,
+        };
+        self.sessions.insert(arrival.sid.clone(), session);
     }
 
-    fn asks(&mut self) {
+    fn viewer_requests(&mut self) {
         for _ in 0..self.rng.usize(1..5) {
             let sid: Sid = format!("{:016x}", self.next).into();
             let patience = ms(self.rng.u64(0..4_000));
-            let a = self.arrival(&sid, patience);
-            self.holds(&a, Some((a.viewer, self.now + patience)));
-            self.inputs.push(Input::Arrived(a));
+            let arrival = self.arrival(&sid, patience);
+            self.insert(&arrival, Some((arrival.viewer, self.now + patience)));
+            self.inputs.push(Input::Arrived(arrival));
         }
     }
 
-    fn adopts(&mut self) {
+    fn hand_over(&mut self) {
         let Some(server) = self.directory.server_id(&format!("s{}", self.rng.u64(0..12))) else { return };
         let sid: Sid = format!("{:016x}", self.next).into();
         let arrival = self.arrival(&sid, ms(4_000_000));
-        self.holds(&arrival, None);
+        self.insert(&arrival, None);
         self.inputs.push(Input::Adopted { arrival, server });
     }
 
-    fn some(&mut self, fits: impl Fn(&Held) -> bool) -> Option<Sid> {
-        let fitting: Vec<_> = self.held.iter().filter(|(_, h)| fits(h)).map(|(sid, _)| sid.clone()).collect();
-        self.rng.choice(fitting)
+    fn random_session(&mut self, matches: impl Fn(&SessionState) -> bool) -> Option<Sid> {
+        let candidates: Vec<_> =
+            self.sessions.iter().filter(|(_, h)| matches(h)).map(|(sid, _)| sid.clone()).collect();
+        self.rng.choice(candidates)
     }
 
-    fn hangs_up(&mut self) {
-        let Some(sid) = self.some(|h| h.waits.is_some()) else { return };
-        let h = self.held.get_mut(&sid).unwrap();
-        let (viewer, _) = h.waits.take().unwrap();
-        self.left.insert(viewer);
+    fn disconnect(&mut self) {
+        let Some(sid) = self.random_session(|h| h.waiting.is_some()) else { return };
+        let session = self.sessions.get_mut(&sid).unwrap();
+        let (viewer, _) = session.waiting.take().unwrap();
+        self.disconnected.insert(viewer);
         self.inputs.push(Input::HungUp { viewer, sid: sid.clone() });
-        if h.out.is_none() {
-            self.held.remove(&sid);
+        if session.attempt.is_none() {
+            self.sessions.remove(&sid);
         }
     }
 
-    fn ends(&mut self) {
-        let Some(sid) = self.some(|h| h.out.is_some()) else { return };
-        let (attempt, went) = self.held[&sid].out.unwrap();
+    fn attempt_event(&mut self) {
+        let Some(sid) = self.random_session(|h| h.attempt.is_some()) else { return };
+        let (attempt, sent) = self.sessions[&sid].attempt.unwrap();
         match self.rng.u8(0..8) {
             0 => self.ended(attempt, AttemptEnd::NotConnected),
-            1 => self.held.get_mut(&sid).unwrap().out = Some((attempt, true)),
-            2 if went => self.ended(attempt, AttemptEnd::Reset),
-            3 if went => self.ended(attempt, AttemptEnd::Error { status: 47 }),
-            4 if went => self.ended(attempt, AttemptEnd::Full),
+            1 => self.sessions.get_mut(&sid).unwrap().attempt = Some((attempt, true)),
+            2 if sent => self.ended(attempt, AttemptEnd::Reset),
+            3 if sent => self.ended(attempt, AttemptEnd::Error { status: 47 }),
+            4 if sent => self.ended(attempt, AttemptEnd::Full),
             _ => {
-                let h = self.held.get_mut(&sid).unwrap();
-                (h.out, h.plays, h.ran) = (None, true, true);
+                let session = self.sessions.get_mut(&sid).unwrap();
+                (session.attempt, session.playing, session.possibly_executed) = (None, true, true);
                 self.inputs.push(Input::Playing { attempt, load: Load::default(), answer: () });
             }
         }
     }
 
-    fn over(&mut self) {
-        if let Some(sid) = self.some(|h| h.plays) {
+    fn session_end(&mut self) {
+        if let Some(sid) = self.random_session(|h| h.playing) {
             self.inputs.push(Input::Over { sid, why: OverWhy::Ended, load: Load::default() });
         }
     }
 
-    fn notes(&mut self) {
+    fn session_report(&mut self) {
         let x = self.rng.f64() * 1.4;
         let note = *self.rng.choice(&[Note::Share(x.min(1.0)), Note::Link(x), Note::Rack(x)]).unwrap();
-        if let Some(sid) = self.some(|h| h.plays) {
+        if let Some(sid) = self.random_session(|h| h.playing) {
             self.inputs.push(Input::Note { sid, note });
         }
     }
