--- a/crates/platform/tests/random_deployment/mod.rs
+++ b/crates/platform/tests/random_deployment/mod.rs
@@ -1,5 +1,5 @@
-//! Deployments drawn by a seed, as the platform would write them: names, numbers of classes and tenants, limits, effects,
-//! and whatever may be left out now there, now not.
+//! Settings of random deployments, generated from a seed: names, numbers of classes and tenants, limits and effects vary,
+//! and optional fields are present or absent.
 
 use fastrand::Rng;
 use serde_json::{json, Map, Value};
@@ -7,21 +7,21 @@
 mod checks;
 pub mod front;
 
-/// A name as a deployment might have it: what the program was never told of.
-fn name(rng: &mut Rng, of: &str, i: usize) -> String {
-    let tail: String =
+/// A name with arbitrary characters.
+fn name(rng: &mut Rng, prefix: &str, i: usize) -> String {
+    let suffix: String =
         (0..rng.usize(0..6)).map(|_| *rng.choice(&['a', 'Z', '7', '-', '_', 'é', ' ']).unwrap()).collect();
-    format!("{of}{i}{tail}")
+    format!("{prefix}{i}{suffix}")
 }
 
-fn list(n: usize, mut each: impl FnMut(usize) -> Value) -> Value {
-    (0..n).map(&mut each).collect()
+fn list(len: usize, mut item: impl FnMut(usize) -> Value) -> Value {
+    (0..len).map(&mut item).collect()
 }
 
-/// Puts a field there, or leaves it out.
-fn maybe(rng: &mut Rng, to: &mut Map<String, Value>, key: &str, value: Value) {
+/// Inserts a field in four of five cases.
+fn maybe_insert(rng: &mut Rng, object: &mut Map<String, Value>, key: &str, value: Value) {
     if rng.u8(0..5) > 0 {
-        to.insert(key.into(), value);
+        object.insert(key.into(), value);
     }
 }
 
@@ -30,14 +30,14 @@
     let (classes, rungs, kinds, tenants) =
         (rng.usize(1..6), rng.usize(1..5), rng.usize(1..4), rng.usize(0..4));
     let mut rate = 50.0;
-    let level = list(rungs, |_| {
+    let levels = list(rungs, |_| {
         rate += rng.f64() * 900.0;
         json!(rate)
     });
-    let tops: Vec<usize> = (0..classes).map(|_| rng.usize(0..rungs + 2)).collect();
+    let max_rungs: Vec<usize> = (0..classes).map(|_| rng.usize(0..rungs + 2)).collect();
     let mut domain =
-        json!({"level-kb": level, "link-unit-kb": rng.f64() * 90_000.0}).as_object().unwrap().clone();
-    let floors = list(classes, |i| json!(rng.usize(0..=tops[i].min(rungs - 1))));
+        json!({"level-kb": levels, "link-unit-kb": rng.f64() * 90_000.0}).as_object().unwrap().clone();
+    let min_rungs = list(classes, |i| json!(rng.usize(0..=max_rungs[i].min(rungs - 1))));
     let places = rng.u64(0..40);
     for (key, value) in [
         ("class-live", list(classes, |_| json!(rng.bool()))),
@@ -52,25 +52,25 @@
         ("told-every", json!(rng.u64(0..4_000))),
         ("told-late", json!(rng.u64(0..2_000))),
     ] {
-        maybe(rng, &mut domain, key, value);
+        maybe_insert(rng, &mut domain, key, value);
     }
-    // A floor goes with its tops.
+    // The minimum rungs are valid only with these maximum rungs.
     if rng.u8(0..5) > 0 {
-        domain.insert("class-top".into(), json!(tops));
-        domain.insert("floor-by-class".into(), floors);
+        domain.insert("class-top".into(), json!(max_rungs));
+        domain.insert("floor-by-class".into(), min_rungs);
     }
     let grades = list(classes, |i| {
-        let mut g = json!({"name": name(rng, "c", i)}).as_object().unwrap().clone();
+        let mut grade = json!({"name": name(rng, "c", i)}).as_object().unwrap().clone();
         let deadline = rng.u64(300..6_000);
         let effect = *rng.choice(&["idempotent", "at_most_once", "another word"]).unwrap();
-        maybe(rng, &mut g, "deadline", json!(deadline));
+        maybe_insert(rng, &mut grade, "deadline", json!(deadline));
         let (aim, worth) = (deadline as f64 * rng.f64(), rng.f64() * 9.0);
-        maybe(rng, &mut g, "aim", json!(aim));
-        maybe(rng, &mut g, "effect", json!(effect));
-        maybe(rng, &mut g, "importance", json!(worth));
-        g.into()
+        maybe_insert(rng, &mut grade, "aim", json!(aim));
+        maybe_insert(rng, &mut grade, "effect", json!(effect));
+        maybe_insert(rng, &mut grade, "importance", json!(worth));
+        grade.into()
     });
-    let (mut invariants, mut limits, mut out) = (Map::new(), Map::new(), Map::new());
+    let (mut invariants, mut limits, mut settings) = (Map::new(), Map::new(), Map::new());
     for (key, value) in [
         ("ask-within", json!(rng.u64(0..3_000))),
         ("cold", json!(rng.u64(0..20_000))),
@@ -78,13 +78,13 @@
         ("fall", json!(rng.u64(0..3_000))),
         ("fall-multiple", json!(rng.f64() * 5.0)),
     ] {
-        maybe(rng, &mut invariants, key, value);
+        maybe_insert(rng, &mut invariants, key, value);
     }
     if rng.bool() {
         invariants.insert("budget-span".into(), json!(rng.u64(1..20_000)));
         let (free, share) = (rng.u64(0..5), rng.f64());
-        maybe(rng, &mut invariants, "budget-free", json!(free));
-        maybe(rng, &mut invariants, "extra-share", json!(share));
+        maybe_insert(rng, &mut invariants, "budget-free", json!(free));
+        maybe_insert(rng, &mut invariants, "extra-share", json!(share));
     }
     for (key, value) in [
         ("most-tries", json!(rng.u64(1..30))),
@@ -93,7 +93,7 @@
         ("connect-timeout", json!(rng.u64(0..1_000))),
         ("idle-close", json!(rng.u64(0..60_000))),
     ] {
-        maybe(rng, &mut limits, key, value);
+        maybe_insert(rng, &mut limits, key, value);
     }
     let fronts = rng.u64(1..400);
     for (key, value) in [
@@ -107,11 +107,11 @@
         ("limits", limits.into()),
         ("tenants", list(tenants, |i| json!({"name": name(rng, "t", i), "quota-per-s": rng.f64() * 50.0}))),
     ] {
-        maybe(rng, &mut out, key, value);
+        maybe_insert(rng, &mut settings, key, value);
     }
-    // Streams by kind go with the kinds.
-    out.insert("kinds".into(), list(kinds, |i| json!(name(rng, "k", i))));
-    out.insert("grades".into(), grades);
-    out.insert("domain".into(), domain.into());
-    out.into()
+    // The number of kinds has to match `places-by-kind`.
+    settings.insert("kinds".into(), list(kinds, |i| json!(name(rng, "k", i))));
+    settings.insert("grades".into(), grades);
+    settings.insert("domain".into(), domain.into());
+    settings.into()
 }
--- a/crates/platform/tests/resend.rs
+++ b/crates/platform/tests/resend.rs
@@ -1,4 +1,4 @@
-//! Releases whose viewer's connection broke.
+//! Releases that are sent again because the viewer's connection ended.
 
 use cloverhollow_platform::resend::{UnacknowledgedReleases, ASSUMED_READ_AFTER};
 use cloverhollow_platform::session_registry::{ConnId, Release};
@@ -11,19 +11,19 @@
 }
 
 #[test]
-fn what_was_written_lately_on_a_connection_that_ended_is_told_again_once() {
-    let mut unproven = UnacknowledgedReleases::default();
-    unproven.record(NOW, release(1, "a"));
-    unproven.record(NOW, release(2, "b"));
-    assert_eq!(unproven.take_lost(NOW + ASSUMED_READ_AFTER, ConnId(1)), [release(1, "a")]);
-    assert_eq!(unproven.take_lost(NOW + ASSUMED_READ_AFTER, ConnId(1)), []);
-    assert_eq!(unproven.take_lost(NOW + ASSUMED_READ_AFTER * 2, ConnId(2)), [], "it was read");
+fn a_recent_release_on_a_closed_connection_is_returned_once() {
+    let mut releases = UnacknowledgedReleases::default();
+    releases.record(NOW, release(1, "a"));
+    releases.record(NOW, release(2, "b"));
+    assert_eq!(releases.take_lost(NOW + ASSUMED_READ_AFTER, ConnId(1)), [release(1, "a")]);
+    assert_eq!(releases.take_lost(NOW + ASSUMED_READ_AFTER, ConnId(1)), []);
+    assert_eq!(releases.take_lost(NOW + ASSUMED_READ_AFTER * 2, ConnId(2)), [], "assumed to have been read");
 }
 
 #[test]
-fn what_its_viewer_has_heard_is_not_told_again() {
-    let mut unproven = UnacknowledgedReleases::default();
-    unproven.record(NOW, release(1, "a"));
-    unproven.acknowledge("a");
-    assert_eq!(unproven.take_lost(NOW, ConnId(1)), []);
+fn an_acknowledged_release_is_not_returned() {
+    let mut releases = UnacknowledgedReleases::default();
+    releases.record(NOW, release(1, "a"));
+    releases.acknowledge("a");
+    assert_eq!(releases.take_lost(NOW, ConnId(1)), []);
 }
--- a/crates/platform/tests/viewers.rs
+++ b/crates/platform/tests/viewers.rs
@@ -1,4 +1,4 @@
-//! What viewers' messages ask for, against settings; and what those that can't be used get.
+//! Validation of viewers' requests against the settings, and the responses to invalid ones.
 
 use bytes::BytesMut;
 use cloverhollow_platform::rtsp::{self, Message};
@@ -29,7 +29,7 @@
     rtsp::decode(&mut buf).unwrap().unwrap()
 }
 
-const GOOD: [(&str, &str); 6] = [
+const VALID: [(&str, &str); 6] = [
     ("CSeq", "1"),
     ("Session", "9b1f03aa5c7e2d41"),
     ("X-Service", "clip"),
@@ -38,14 +38,16 @@
     ("X-Route", "home:4;copies:3;top:1;viewer:00000000b4d65521;again:1;new:x"),
 ];
 
-fn with(name: &str, value: Option<&str>) -> Message {
-    let changed = GOOD.iter().filter(|(n, _)| *n != name).copied().chain(value.map(|v| (name, v)));
-    message("SETUP", "rtsp://media/7f3a9c21e0b4d655", &changed.collect::<Vec<_>>(), b"v=0\r\n")
+fn setup_with(name: &str, value: Option<&str>) -> Message {
+    let headers = VALID.iter().filter(|(n, _)| *n != name).copied().chain(value.map(|v| (name, v)));
+    message("SETUP", "rtsp://media/7f3a9c21e0b4d655", &headers.collect::<Vec<_>>(), b"v=0\r\n")
 }
 
 #[test]
-fn a_set_up_carries_all_that_the_core_and_the_server_need() {
-    let Ok(ViewerRequest::Setup(s)) = viewer::parse(with("", None), &site()) else { panic!("refused") };
+fn a_set_up_is_parsed_for_the_core_and_the_server() {
+    let Ok(ViewerRequest::Setup(s)) = viewer::parse(setup_with("", None), &site()) else {
+        panic!("rejected")
+    };
     let a = &s.arrival;
     assert_eq!((&*s.sid, s.playing_at, a.title), ("9b1f03aa5c7e2d41", None, 0x7f3a_9c21_e0b4_d655));
     assert_eq!((a.class, a.tenant, a.top, a.first_cell, a.cells, a.again), (1, Some(1), 1, 4, 3, true));
@@ -53,24 +55,25 @@
     assert_eq!((&*a.ask.class, &*a.ask.title, &*a.ask.description), ("clip", "7f3a9c21e0b4d655", "v=0\r\n"));
 }
 
-/// Seen on sockets: a session that is handed over names a waiting time of over an hour. It was refused, and its end
-/// had nobody to go to.
+/// Guards against rejecting the hand-over of a session, which states a waiting time of over an hour. Its release then had
+/// no recipient.
 #[test]
-fn a_session_that_is_handed_over_is_taken_and_no_viewer_waits_longer_than_its_class() {
+fn a_hand_over_is_accepted_and_the_wait_is_bounded_by_the_class() {
     let route = Some("home:4;copies:3;top:1;viewer:0;at:s-00c41f7a");
-    let Ok(ViewerRequest::Setup(s)) = viewer::parse(with("X-Route", route), &site()) else {
-        panic!("refused")
+    let Ok(ViewerRequest::Setup(s)) = viewer::parse(setup_with("X-Route", route), &site()) else {
+        panic!("rejected")
     };
     assert_eq!(s.playing_at.as_deref(), Some("s-00c41f7a"));
-    let Ok(ViewerRequest::Setup(s)) = viewer::parse(with("X-Setup-Ms", Some("4294967")), &site()) else {
-        panic!("refused")
+    let Ok(ViewerRequest::Setup(s)) = viewer::parse(setup_with("X-Setup-Ms", Some("4294967")), &site())
+    else {
+        panic!("rejected")
     };
     assert_eq!(s.arrival.patience, Duration::from_secs(3));
 }
 
 #[test]
-fn what_can_not_be_used_is_refused_and_says_whom() {
-    let bad = [
+fn invalid_requests_are_rejected_with_a_reply_target() {
+    let invalid = [
         ("CSeq", None),
         ("CSeq", Some("one")),
         ("Session", None),
@@ -90,38 +93,38 @@
         ("X-Route", Some("top:x")),
         ("X-Route", Some("again:2")),
     ];
-    for (name, value) in bad {
-        let unusable = viewer::parse(with(name, value), &site()).expect_err(&format!("{name} {value:?}"));
-        let text = viewer::error_response(400, &unusable.reply_to);
-        assert!(text.starts_with(b"RTSP/1.0 400 "), "{name} {value:?}");
+    for (name, value) in invalid {
+        let error = viewer::parse(setup_with(name, value), &site()).expect_err(&format!("{name} {value:?}"));
+        let response = viewer::error_response(400, &error.reply_to);
+        assert!(response.starts_with(b"RTSP/1.0 400 "), "{name} {value:?}");
     }
-    let title = message("SETUP", "rtsp://media/none", &GOOD, b"");
-    let elsewhere = message("SETUP", "rtsp://other/1", &GOOD, b"");
-    let noise = message("SETUP", "rtsp://media/1", &GOOD, b"\xff\xfe");
-    let twice =
-        message("SETUP", "rtsp://media/1", &[&GOOD[..], &[("Session", "9b1f03aa5c7e2d42")]].concat(), b"");
-    for bad in [title, elsewhere, noise, twice] {
+    let title = message("SETUP", "rtsp://media/none", &VALID, b"");
+    let elsewhere = message("SETUP", "rtsp://other/1", &VALID, b"");
+    let not_utf8 = message("SETUP", "rtsp://media/1", &VALID, b"\xff\xfe");
+    let two_sessions =
+        message("SETUP", "rtsp://media/1", &[&VALID[..], &[("Session", "9b1f03aa5c7e2d42")]].concat(), b"");
+    for bad in [title, elsewhere, not_utf8, two_sessions] {
         assert!(viewer::parse(bad, &site()).is_err());
     }
 }
 
 #[test]
-fn tests_ends_and_answers_are_told_apart() {
+fn pings_teardowns_and_responses_are_distinguished() {
     let site = site();
-    let read = |m| viewer::parse(m, &site).unwrap();
-    let test = read(message("OPTIONS", "rtsp://media/ping", &[("CSeq", "3")], b""));
-    assert!(matches!(test, ViewerRequest::Ping { cseq, sid: None } if cseq == "3"));
-    let end =
-        read(message("TEARDOWN", "rtsp://media/x", &[("CSeq", "2"), ("Session", "9b1f03aa5c7e2d41")], b""));
-    assert!(matches!(end, ViewerRequest::Teardown { sid, .. } if &*sid == "9b1f03aa5c7e2d41"));
-    let mut heard = BytesMut::from(&viewer::ok_response("2", None)[..]);
-    assert!(matches!(read(rtsp::decode(&mut heard).unwrap().unwrap()), ViewerRequest::NoAction));
+    let parse = |m| viewer::parse(m, &site).unwrap();
+    let ping = parse(message("OPTIONS", "rtsp://media/ping", &[("CSeq", "3")], b""));
+    assert!(matches!(ping, ViewerRequest::Ping { cseq, sid: None } if cseq == "3"));
+    let teardown =
+        parse(message("TEARDOWN", "rtsp://media/x", &[("CSeq", "2"), ("Session", "9b1f03aa5c7e2d41")], b""));
+    assert!(matches!(teardown, ViewerRequest::Teardown { sid, .. } if &*sid == "9b1f03aa5c7e2d41"));
+    let mut response = BytesMut::from(&viewer::ok_response("2", None)[..]);
+    assert!(matches!(parse(rtsp::decode(&mut response).unwrap().unwrap()), ViewerRequest::NoAction));
     assert!(viewer::parse(message("TEARDOWN", "rtsp://media/x", &[("CSeq", "2")], b""), &site).is_err());
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_where_a_hold_off_is_followed() {
-    let text = |after| String::from_utf8(viewer::refusal_response("9b", after).to_vec()).unwrap();
+fn a_refusal_has_a_retry_after_header_unless_the_delay_is_zero() {
+    let text = |retry_after| String::from_utf8(viewer::refusal_response("9b", retry_after).to_vec()).unwrap();
     assert!(text(Duration::from_millis(700)).contains("\r\nRetry-After-Ms: 700\r\n"));
     assert!(!text(Duration::ZERO).contains("Retry-After"));
 }
--- a/crates/platform/tests/zero_settings.rs
+++ b/crates/platform/tests/zero_settings.rs
@@ -1,5 +1,5 @@
-//! Settings that are zero, absent or shorter than a round trip: each request gets one answer in time, the decision module
-//! never asks for a timer that keeps the front busy, and each attempt has an end.
+//! Settings that are zero, absent or shorter than a round trip. Each request must get one response in time, timers must not
+//! make the front busy-loop, and each attempt must end.
 
 use cloverhollow::{Brain, ListMode};
 use cloverhollow_platform::settings::{self, SiteSettings};
@@ -8,13 +8,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// As `cloverhollow node` answers before a viewer's time is up.
+/// Time before the end of the viewer's waiting time at which `cloverhollow node` responds.
 const MARGIN: Duration = Duration::from_millis(20);
 const DAY: Duration = Duration::from_secs(86_400);
-/// Steps within one instant that are taken for a circle.
-const CIRCLE: usize = 100;
+/// Number of steps without progress in time that counts as a busy loop.
+const MAX_STEPS_AT_ONCE: usize = 100;
 
-fn whole() -> Value {
+fn full_settings() -> Value {
     json!({
         "balancers": 3, "index": 0, "zone": "east", "kinds": ["std"], "discovery": "pushed",
         "grades": [
@@ -31,12 +31,16 @@
     })
 }
 
-/// The places of all numbers.
-fn numbers(value: &Value, at: &str, out: &mut Vec<String>) {
+/// Collects the JSON pointers of all numbers.
+fn number_paths(value: &Value, path: &str, paths: &mut Vec<String>) {
     match value {
-        Value::Number(_) => out.push(at.to_owned()),
-        Value::Array(of) => of.iter().enumerate().for_each(|(i, v)| numbers(v, &format!("{at}/{i}"), out)),
-        Value::Object(of) => of.iter().for_each(|(name, v)| numbers(v, &format!("{at}/{name}"), out)),
+        Value::Number(_) => paths.push(path.to_owned()),
+        Value::Array(items) => {
+            items.iter().enumerate().for_each(|(i, v)| number_paths(v, &format!("{path}/{i}"), paths))
+        }
+        Value::Object(fields) => {
+            fields.iter().for_each(|(name, v)| number_paths(v, &format!("{path}/{name}"), paths))
+        }
         _ => {}
     }
 }
@@ -98,7 +102,7 @@
     })
 }
 
-/// What its servers do with a set-up.
+/// Reaction of all servers to a set-up.
 #[derive(Clone, Copy, Debug)]
 enum Servers {
     Answer,
@@ -108,9 +112,9 @@
     None,
 }
 
-/// A request of each class; each is owed one answer by its time.
-fn day(case: &str, site: &SiteSettings, servers: Servers, patience: Duration) {
-    let case = format!("{case}, {servers:?}, waits {patience:?}");
+/// Simulates one request of each class; each must get one response in time.
+fn simulate(case: &str, site: &SiteSettings, servers: Servers, patience: Duration) {
+    let case = format!("{case}, {servers:?}, waiting time {patience:?}");
     let mut core = core(site);
     let mut now = DAY;
     let listed = if matches!(servers, Servers::None) { 0 } else { 4 };
@@ -118,7 +122,7 @@
     let mut inputs =
         vec![Input::Clock(DAY), Input::List(ListNews { mode: ListMode::Whole, version: 1, entries })];
     inputs.extend((0..site.settings.classes.len()).map(|c| arrival(c, c as u64 + 1, patience)));
-    let (mut answers, mut open, mut circle) = (BTreeMap::new(), BTreeMap::new(), 0);
+    let (mut answers, mut open, mut steps_at_once) = (BTreeMap::new(), BTreeMap::new(), 0);
     loop {
         let commands = core.step(now, std::mem::take(&mut inputs));
         assert_eq!(core.check(), Ok(()), "{case}");
@@ -138,7 +142,7 @@
                     inputs.extend(out.map(|_| end(attempt, AttemptEnd::Unanswered)));
                 }
                 Command::Answer { viewer, .. } => {
-                    assert!(answers.insert(viewer, now).is_none(), "{case}: two answers");
+                    assert!(answers.insert(viewer, now).is_none(), "{case}: two responses");
                 }
                 _ => {}
             }
@@ -146,78 +150,79 @@
         if inputs.is_empty() {
             match core.next_due() {
                 Some(due) if due > DAY + Duration::from_secs(5) => break,
-                Some(due) if due > now => (now, circle) = (due, 0),
+                Some(due) if due > now => (now, steps_at_once) = (due, 0),
                 Some(_) => {}
                 None => break,
             }
         }
-        circle += 1;
-        assert!(circle < CIRCLE, "{case}: it goes round in one instant");
+        steps_at_once += 1;
+        assert!(steps_at_once < MAX_STEPS_AT_ONCE, "{case}: busy loop");
     }
-    assert_eq!(answers.len(), site.settings.classes.len(), "{case}: unanswered");
-    // What the margin leaves of its time; nothing is left where that is more: then at once.
+    assert_eq!(answers.len(), site.settings.classes.len(), "{case}: responses are missing");
+    // The waiting time less the margin; if that is nothing, the response is due at once.
     let by = DAY + patience.saturating_sub(MARGIN);
     assert!(answers.values().all(|at| *at <= by), "{case}: {answers:?} past {by:?}");
-    assert!(open.is_empty(), "{case}: attempts without an end");
+    assert!(open.is_empty(), "{case}: attempts that never ended");
 }
 
-/// Plays days by these settings. What they refuse is named, and ends the process before any request: `part` stands in it.
-fn days(case: &str, settings: &Value, part: &str) -> bool {
+/// Simulates requests under these settings, and returns whether the settings were accepted. If they are rejected, which
+/// ends the process before any request, the error must contain `field`.
+fn simulate_all(case: &str, settings: &Value, field: &str) -> bool {
     let site = match settings::read(settings.clone()) {
         Ok(site) => site,
         Err(e) => {
-            assert!(!part.is_empty() && e.contains(part), "{case}: {e}");
+            assert!(!field.is_empty() && e.contains(field), "{case}: {e}");
             return false;
         }
     };
     for servers in [Servers::Answer, Servers::Full, Servers::Refuse, Servers::Silent, Servers::None] {
         for wait in [0, 1, 19, 20, 21, 40, 1_500] {
-            day(case, &site, servers, Duration::from_millis(wait));
+            simulate(case, &site, servers, Duration::from_millis(wait));
         }
     }
     true
 }
 
 #[test]
-fn any_setting_that_is_zero_absent_or_tiny_leaves_one_answer_in_time() {
-    let whole = whole();
-    assert!(days("as they are", &whole, ""));
-    let (mut played, mut refused) = (0, 0);
-    let mut count = |was_played: bool| if was_played { played += 1 } else { refused += 1 };
-    let mut places = Vec::new();
-    numbers(&whole, "", &mut places);
-    assert!(places.len() > 30, "{places:?}");
-    for place in places {
-        let part = place.split('/').nth(1).unwrap().to_owned();
+fn zero_absent_or_tiny_settings_still_give_one_response_in_time() {
+    let full = full_settings();
+    assert!(simulate_all("unchanged", &full, ""));
+    let (mut accepted, mut rejected) = (0, 0);
+    let mut count = |is_accepted: bool| if is_accepted { accepted += 1 } else { rejected += 1 };
+    let mut paths = Vec::new();
+    number_paths(&full, "", &mut paths);
+    assert!(paths.len() > 30, "{paths:?}");
+    for path in paths {
+        let field = path.split('/').nth(1).unwrap().to_owned();
         for value in [0.0, 1e-3, 1.0] {
-            let mut changed = whole.clone();
-            *changed.pointer_mut(&place).unwrap() = value.into();
-            count(days(&format!("{place} {value}"), &changed, &part));
+            let mut changed = full.clone();
+            *changed.pointer_mut(&path).unwrap() = value.into();
+            count(simulate_all(&format!("{path} {value}"), &changed, &field));
         }
-        let (of, name) = place.rsplit_once('/').unwrap();
-        let mut without = whole.clone();
-        if let Some(Value::Object(of)) = without.pointer_mut(of) {
-            of.remove(name);
-            count(days(&format!("without {place}"), &without, &part));
+        let (parent, name) = path.rsplit_once('/').unwrap();
+        let mut without = full.clone();
+        if let Some(Value::Object(fields)) = without.pointer_mut(parent) {
+            fields.remove(name);
+            count(simulate_all(&format!("without {path}"), &without, &field));
         }
     }
-    assert!(played > 100 && refused < played / 4, "{played} played, {refused} refused");
+    assert!(accepted > 100 && rejected < accepted / 4, "{accepted} accepted, {rejected} rejected");
 }
 
 #[test]
-fn all_limits_and_rules_at_zero_leave_one_answer_in_time() {
-    for part in ["/limits", "/invariants", "/domain"] {
-        let mut changed = whole();
-        let mut places = Vec::new();
-        numbers(changed.pointer(part).unwrap(), part, &mut places);
-        // Those that have no zero stay: they are refused by name.
-        for place in &places {
-            let was = changed.clone();
-            *changed.pointer_mut(place).unwrap() = 0.0.into();
+fn settings_groups_at_zero_still_give_one_response_in_time() {
+    for group in ["/limits", "/invariants", "/domain"] {
+        let mut changed = full_settings();
+        let mut paths = Vec::new();
+        number_paths(changed.pointer(group).unwrap(), group, &mut paths);
+        // A field that may not be zero keeps its value.
+        for path in &paths {
+            let previous = changed.clone();
+            *changed.pointer_mut(path).unwrap() = 0.0.into();
             if settings::read(changed.clone()).is_err() {
-                changed = was;
+                changed = previous;
             }
         }
-        assert!(days(&format!("{part} at zero"), &changed, ""));
+        assert!(simulate_all(&format!("{group} at zero"), &changed, ""));
     }
 }
