--- a/crates/platform/tests/random_deployment/checks.rs
+++ b/crates/platform/tests/random_deployment/checks.rs
@@ -1,6 +1,7 @@
 //! Checks on each command of the session core.
 
-use super::front::{Front, SessionState};
+use super::front::Front;
+use super::session_state::SessionState;
 use cloverhollow_session::*;
 
 impl Front {
--- a/crates/platform/tests/random_deployment/front.rs
+++ b/crates/platform/tests/random_deployment/front.rs
@@ -1,5 +1,6 @@
 //! A simulated front of a random deployment: random requests, list events, responses and time-outs.
 
+use super::session_state::SessionState;
 use cloverhollow::{Brain, Note};
 use cloverhollow_hints::{Contradictions, Faults};
 use cloverhollow_platform::channel::ServerDirectory;
@@ -17,21 +18,6 @@
     Duration::from_millis(n)
 }
 
-/// A session that is being set up or is playing.
-pub(super) struct SessionState {
-    pub(super) title: u64,
-    pub(super) class: usize,
-    pub(super) top: usize,
-    /// The waiting viewer and its deadline.
-    pub(super) waiting: Option<(ViewerId, Duration)>,
-    /// The open attempt, and whether its first byte has been sent.
-    pub(super) attempt: Option<(AttemptId, bool)>,
-    pub(super) playing: bool,
-    pub(super) possibly_executed: bool,
-    /// True if the session was handed over, so that its rung was not chosen here.
-    pub(super) adopted: bool,
-}
-
 pub struct Front {
     pub(super) site: SiteSettings,
     core: Core<Brain, u32, ()>,
--- a/crates/platform/tests/random_deployment/mod.rs
+++ b/crates/platform/tests/random_deployment/mod.rs
@@ -6,6 +6,7 @@
 
 mod checks;
 pub mod front;
+mod session_state;
 
 /// A name with arbitrary characters.
 fn name(rng: &mut Rng, prefix: &str, i: usize) -> String {
