--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -73,7 +73,7 @@
             };
             match runtime.block_on(cloverhollow_node::run(config)) {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(e) => fail(&e, e.code()),
+                Err(e) => fail(&e, e.exit_code()),
             }
         }
         Command::Check { config } => match FrontSettings::load(&config) {
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -9,21 +9,21 @@
 use crate::upstream::{self, Ask, SetupAnswer};
 use crate::Shared;
 use bytes::Bytes;
-use cloverhollow_net::Gate;
+use cloverhollow_net::SendDecision;
 use cloverhollow_session::{AttemptEnd, Input, Load, Setup};
 use std::sync::Arc;
 use tokio::task::AbortHandle;
 
 /// The desk's hold on an attempt that is out. Dropping it ends the attempt and closes its connection.
 pub(crate) struct Held {
-    gate: Arc<Gate>,
+    gate: Arc<SendDecision>,
     task: AbortHandle,
 }
 
 impl Held {
     /// Whether its first byte had not gone out, and now never will.
     pub(crate) fn recall(&self) -> bool {
-        self.gate.recall()
+        self.gate.try_cancel()
     }
 }
 
@@ -36,7 +36,7 @@
 /// Sends a set-up in a task of its own, which mails its end to the desk. No time-out here: the desk recalls.
 /// `ticket`: what must be taken down before its first byte may go out.
 pub(crate) fn spawn(setup: Setup<Arc<Ask>>, ticket: Ticket, shared: Arc<Shared>) -> Held {
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(SendDecision::default());
     let own = gate.clone();
     let task = tokio::spawn(async move {
         // `None`: it was recalled, and the desk knows.
@@ -51,7 +51,7 @@
     setup: &Setup<Arc<Ask>>,
     ticket: Ticket,
     shared: &Shared,
-    gate: &Gate,
+    gate: &SendDecision,
 ) -> Option<Input<Arc<Ask>, SetupAnswer>> {
     let attempt = setup.attempt;
     let ended = |end| Some(Input::AttemptEnded { attempt, end, load: Load::default() });
@@ -70,14 +70,14 @@
         tracing::info!(session = %setup.sid, %attempt, server = setup.server, "decided too long ago, not sent");
         return ended(AttemptEnd::NeverSent);
     }
-    if !gate.send() {
+    if !gate.try_send() {
         return None;
     }
     let head = upstream::setup_head(setup, shared);
-    if lease.conn().send(head, Bytes::new()).await.is_err() {
+    if lease.conn().send_request(head, Bytes::new()).await.is_err() {
         return ended(AttemptEnd::Reset);
     }
-    let Ok(head) = lease.conn().head().await else { return ended(AttemptEnd::Reset) };
+    let Ok(head) = lease.conn().read_head().await else { return ended(AttemptEnd::Reset) };
     let told = upstream::told(&head, setup.kbps);
     match head.status {
         200..=299 => Some(Input::Playing { attempt, load: told.load, answer: SetupAnswer { head, lease } }),
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,11 +1,11 @@
 //! Instants as later lives of a front can read them.
 
-use cloverhollow_net::{boottime, unix_ms};
+use cloverhollow_net::{time_since_boot, unix_ms};
 use cloverhollow_recovery::{Boot, Stamp};
 
 /// The instant as later lives can read it.
 pub(crate) fn stamp() -> Stamp {
-    Stamp { boot_ms: boottime().as_millis() as u64, wall_ms: unix_ms() }
+    Stamp { boot_ms: time_since_boot().as_millis() as u64, wall_ms: unix_ms() }
 }
 
 /// This boot of the machine; where it cannot be told, one that no other start will take for its own.
--- a/crates/front/src/discovery.rs
+++ b/crates/front/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
-use cloverhollow_net::{connect, EventLines};
+use cloverhollow_net::{connect, EventStreamDecoder};
 use cloverhollow_session::{Feed, ListNews};
 use std::sync::Arc;
 use std::time::Duration;
@@ -65,14 +65,14 @@
     head.headers.push("host", settings.address.to_string());
     head.headers.push("via", shared.via.clone());
     head.headers.push("accept", "text/event-stream");
-    conn.send(head, Bytes::new()).await?;
-    let head = timeout(silent, conn.head()).await.map_err(|_| Broken::Silent)??;
+    conn.send_request(head, Bytes::new()).await?;
+    let head = timeout(silent, conn.read_head()).await.map_err(|_| Broken::Silent)??;
     if head.status != 200 {
         return Err(Broken::Status(head.status));
     }
-    let (mut feed, mut lines) = (Feed::default(), EventLines::default());
+    let (mut feed, mut lines) = (Feed::default(), EventStreamDecoder::default());
     loop {
-        let data = timeout(silent, conn.data()).await.map_err(|_| Broken::Silent)??;
+        let data = timeout(silent, conn.read_body_chunk()).await.map_err(|_| Broken::Silent)??;
         let Some(data) = data else { return Ok(()) };
         for event in lines.push(&data).map_err(Broken::Lines)? {
             let news = feed.read(&event)?;
--- a/crates/front/src/object.rs
+++ b/crates/front/src/object.rs
@@ -77,8 +77,8 @@
         })?;
         let head = upstream::object_head(ask, route, shared);
         let exchange = async {
-            lease.conn().send(head, Bytes::new()).await?;
-            lease.conn().head().await
+            lease.conn().send_request(head, Bytes::new()).await?;
+            lease.conn().read_head().await
         };
         match timeout(shared.settings.servers.object_ms.get(), exchange).await {
             Ok(Ok(head)) => return Ok((head, lease)),
@@ -111,12 +111,13 @@
         conn.framed.feed(ResponseFrame::Head(out)).await?;
         loop {
             // Flushed only when the server has nothing more at hand: small answers go out in one write.
-            let ready = lease.conn().data().now_or_never();
+            let ready = lease.conn().read_body_chunk().now_or_never();
             let data = match ready {
                 Some(data) => data?,
                 None => {
                     timeout(write, conn.framed.flush()).await.map_err(|_| late())??;
-                    let next = timeout(shared.settings.servers.body_ms.get(), lease.conn().data()).await;
+                    let next =
+                        timeout(shared.settings.servers.body_ms.get(), lease.conn().read_body_chunk()).await;
                     next.map_err(|_| late())??
                 }
             };
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -215,8 +215,8 @@
         head.headers.push("range", format!("bytes={}-", bytes.len()));
         head.headers.push("if-range", tag.clone());
     }
-    conn.send(head, Bytes::new()).await?;
-    let head = conn.head().await?;
+    conn.send_request(head, Bytes::new()).await?;
+    let head = conn.read_head().await?;
     match head.status {
         206 => {}
         200 => bytes.clear(),
@@ -227,7 +227,7 @@
         }
     }
     *tag = head.headers.text("etag").map(str::to_string);
-    while let Some(data) = conn.data().await? {
+    while let Some(data) = conn.read_body_chunk().await? {
         if bytes.len() + data.len() > MOST_BYTES {
             *tag = None;
             return Err(bad("too long"));
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -85,7 +85,7 @@
         let Ok(Ok(room)) = room else { return Err(LeaseError::Busy) };
         if !fresh {
             while let Some(conn) = pool.take(self.idle) {
-                if conn.is_fresh() {
+                if conn.is_open_and_idle() {
                     return Ok(Lease { conn, pool, used: true, _room: room });
                 }
             }
--- a/crates/front/src/side.rs
+++ b/crates/front/src/side.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cloverhollow_http::{Limits, Method, RequestFrame, ResponseHead};
 use cloverhollow_knowledge::{Feeds, Level, Why, MOST_PEERS};
-use cloverhollow_net::{answer, ServerConn, ServerSide};
+use cloverhollow_net::{write_response, ServerCodec, ServerConn};
 use cloverhollow_session::ServerList;
 use futures_util::StreamExt;
 use std::collections::BTreeSet;
@@ -149,7 +149,7 @@
 }
 
 async fn one(stream: TcpStream, shared: &Shared, state: &State) {
-    let mut conn = Framed::new(stream, ServerSide::new(Limits::default()));
+    let mut conn = Framed::new(stream, ServerCodec::new(Limits::default()));
     let Some(Ok(RequestFrame::Head(request))) = conn.next().await else { return };
     let (status, body) = match request.target.path() {
         "/health" => health(shared, state),
@@ -168,7 +168,7 @@
 
 async fn say(conn: &mut ServerConn, mut head: ResponseHead, body: impl Into<Bytes>) {
     head.keep_alive = false;
-    let _ = answer(conn, head, body).await;
+    let _ = write_response(conn, head, body).await;
 }
 
 /// An operator asks it to go out when it may.
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -12,7 +12,9 @@
 use cloverhollow_hints::cmsd;
 use cloverhollow_hints::{reconcile, Faults, Group};
 use cloverhollow_http::{percent_decode, Limits, Method, RequestFrame, RequestHead, ResponseHead};
-use cloverhollow_net::{answer, linger, read_body, wait_closed, ServerConn, ServerSide, WireError};
+use cloverhollow_net::{
+    lingering_close, read_body, wait_closed, write_response, ServerCodec, ServerConn, WireError,
+};
 use cloverhollow_session::arrival::{self, Hints, NoSession};
 use cloverhollow_session::{Answer, Input};
 use futures_util::StreamExt;
@@ -45,7 +47,7 @@
             headers: listen.header_lines.count(),
             ..Limits::default()
         };
-        let framed = Framed::with_capacity(stream, ServerSide::new(limits), 2048);
+        let framed = Framed::with_capacity(stream, ServerCodec::new(limits), 2048);
         ViewerConn { framed, keep_alive: true, write: listen.write_ms.get() }
     }
 
@@ -61,7 +63,7 @@
     async fn send(&mut self, mut head: ResponseHead, body: &'static str) -> Flow {
         head.keep_alive = self.keep_alive;
         head.framing = cloverhollow_http::Framing::Length(body.len() as u64);
-        match timeout(self.write, answer(&mut self.framed, head, body)).await {
+        match timeout(self.write, write_response(&mut self.framed, head, body)).await {
             Ok(Ok(())) => self.flow(),
             _ => Flow::Close,
         }
@@ -76,7 +78,7 @@
     async fn last_word(mut self, status: u16) {
         self.keep_alive = false;
         self.plain(status).await;
-        linger(self.framed.into_inner()).await;
+        lingering_close(self.framed.into_inner()).await;
     }
 
     async fn no_session(
@@ -112,7 +114,7 @@
     let mut conn = ViewerConn::new(stream, shared);
     conn.keep_alive = false;
     conn.refuse(after, reason, shared).await;
-    linger(conn.framed.into_inner()).await;
+    lingering_close(conn.framed.into_inner()).await;
 }
 
 /// Serves a connection to its end.
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use cloverhollow::Brain;
 use cloverhollow_front::Front;
 use cloverhollow_http::{Framing, Limits, RequestFrame, RequestHead, ResponseFrame, ResponseHead};
-use cloverhollow_net::{answer, read_body, ServerConn, ServerSide};
+use cloverhollow_net::{read_body, write_response, ServerCodec, ServerConn};
 use cloverhollow_settings::FrontSettings;
 use futures_util::{SinkExt, StreamExt};
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
 }
 
 async fn serve(stream: TcpStream, does: Does, seen: Arc<Mutex<Vec<String>>>) {
-    let mut conn: ServerConn = Framed::new(stream, ServerSide::new(Limits::default()));
+    let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
     if does == Does::ClosesUnread {
         return;
     }
@@ -87,7 +87,7 @@
         let put = |what: String| seen.lock().unwrap().push(what);
         if !body.is_empty() {
             put(format!("report {}", String::from_utf8_lossy(&body)));
-            let _ = answer(&mut conn, ResponseHead::new(204, 0), Bytes::new()).await;
+            let _ = write_response(&mut conn, ResponseHead::new(204, 0), Bytes::new()).await;
             continue;
         }
         let hints =
@@ -95,14 +95,14 @@
         let setup = hints.contains("com.cloverhollow-setup");
         put(format!("{} {:?} {hints}", if setup { "setup" } else { "object" }, head.target));
         if !setup {
-            let _ = answer(&mut conn, ResponseHead::new(200, 2), "ok").await;
+            let _ = write_response(&mut conn, ResponseHead::new(200, 2), "ok").await;
             continue;
         }
         let mut out = ResponseHead::new(200, 4);
         match does {
             Does::Plays => {
                 out.headers.push("cmsd-dynamic", "\"peer\";etp=80000;com.cloverhollow-link=0.3");
-                let _ = answer(&mut conn, out, "play").await;
+                let _ = write_response(&mut conn, out, "play").await;
             }
             Does::ClosesInBody => {
                 out.framing = Framing::Length(1_000_000);
@@ -113,10 +113,10 @@
             Does::SaysFull => {
                 let mut out = ResponseHead::new(503, 0);
                 out.headers.push("cmsd-dynamic", "\"peer\";com.cloverhollow-unrun");
-                let _ = answer(&mut conn, out, Bytes::new()).await;
+                let _ = write_response(&mut conn, out, Bytes::new()).await;
             }
             Does::Fails => {
-                let _ = answer(&mut conn, ResponseHead::new(500, 0), Bytes::new()).await;
+                let _ = write_response(&mut conn, ResponseHead::new(500, 0), Bytes::new()).await;
             }
             Does::Never => {
                 // Until the front closes it.
@@ -143,7 +143,7 @@
             let (stream, _) = listener.accept().await.unwrap();
             let data = data.clone();
             tokio::spawn(async move {
-                let mut conn: ServerConn = Framed::new(stream, ServerSide::new(Limits::default()));
+                let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
                 let _ = conn.next().await;
                 let mut head = ResponseHead::new(200, 0);
                 head.framing = Framing::Chunked;
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -8,7 +8,7 @@
 use cloverhollow_knowledge::facts::{Observer, Standing, State};
 use cloverhollow_knowledge::wire::Message;
 use cloverhollow_knowledge::{Book, Level};
-use cloverhollow_net::{answer, read_body, ServerConn, ServerSide};
+use cloverhollow_net::{read_body, write_response, ServerCodec, ServerConn};
 use cloverhollow_settings::title_id;
 use common::*;
 use futures_util::StreamExt;
@@ -32,13 +32,13 @@
             let (stream, _) = listener.accept().await.unwrap();
             let (reply, count) = (reply.clone(), count.clone());
             tokio::spawn(async move {
-                let mut conn: ServerConn = Framed::new(stream, ServerSide::new(Limits::default()));
+                let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
                 let Some(Ok(RequestFrame::Head(head))) = conn.next().await else { return };
                 let _ = read_body(&mut conn, 0).await;
                 let nonce = head.target.argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
                 let (out, body) = reply(count.fetch_add(1, Relaxed), nonce, &head);
                 // A head that promises more than is sent is a cut.
-                let _ = answer(&mut conn, out, Bytes::from(body)).await;
+                let _ = write_response(&mut conn, out, Bytes::from(body)).await;
             });
         }
     });
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -10,7 +10,7 @@
 use cloverhollow_hints::cmsd::read_dynamic;
 use cloverhollow_hints::Faults;
 use cloverhollow_http::{Limits, RequestFrame, RequestHead, ResponseHead, Target};
-use cloverhollow_net::{answer, connect, read_body, ClientConn, ServerConn, ServerSide};
+use cloverhollow_net::{connect, read_body, write_response, ClientConn, ServerCodec, ServerConn};
 use cloverhollow_session::{ServerEntry, WireState};
 use futures_util::StreamExt;
 use hdrhistogram::Histogram;
@@ -91,14 +91,14 @@
 
 async fn quick(stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let mut conn: ServerConn = Framed::new(stream, ServerSide::new(Limits::default()));
+    let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
     let body = Bytes::from(vec![b'v'; BODY]);
     while let Some(Ok(RequestFrame::Head(_))) = conn.next().await {
         let Ok(Some(asked)) = read_body(&mut conn, 1 << 20).await else { return };
         let (status, body) = if asked.is_empty() { (200, body.clone()) } else { (204, Bytes::new()) };
         let mut head = ResponseHead::new(status, body.len());
         head.headers.push("cmsd-dynamic", "\"server\";com.cloverhollow-link=0.100");
-        if answer(&mut conn, head, body).await.is_err() {
+        if write_response(&mut conn, head, body).await.is_err() {
             return;
         }
     }
--- a/crates/lab/src/standin/channel.rs
+++ b/crates/lab/src/standin/channel.rs
@@ -4,7 +4,7 @@
 use super::platform::front_host;
 use crate::exchange::Seen;
 use cloverhollow_http::{Limits, RequestFrame};
-use cloverhollow_net::{wait_closed, ServerConn, ServerSide};
+use cloverhollow_net::{wait_closed, ServerCodec, ServerConn};
 use futures_util::StreamExt;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -144,7 +144,7 @@
     }
 
     async fn answer_channel(self: Arc<Self>, socket: TcpStream, stream: Stream) {
-        let mut conn: ServerConn = Framed::new(socket, ServerSide::new(Limits::default()));
+        let mut conn: ServerConn = Framed::new(socket, ServerCodec::new(Limits::default()));
         let Some(Ok(RequestFrame::Head(head))) = conn.next().await else { return };
         let mut disturbed = self.disturbed();
         let late = disturbed.borrow_and_update().late;
--- a/crates/lab/src/standin/discovery.rs
+++ b/crates/lab/src/standin/discovery.rs
@@ -7,7 +7,7 @@
 use crate::wires::Wires;
 use bytes::Bytes;
 use cloverhollow_http::{Framing, Limits, RequestFrame, ResponseFrame, ResponseHead};
-use cloverhollow_net::{read_body, ServerConn, ServerSide};
+use cloverhollow_net::{read_body, ServerCodec, ServerConn};
 use cloverhollow_session::{ListMessage, MessageKind, ServerEntry, WireState};
 use futures_util::{SinkExt, StreamExt};
 use std::collections::BTreeMap;
@@ -169,7 +169,7 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        let mut conn: ServerConn = Framed::new(stream, ServerSide::new(Limits::default()));
+        let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
         let Some(Ok(RequestFrame::Head(head))) = conn.next().await else { return };
         let Ok(Some(_)) = read_body(&mut conn, 0).await else { return };
         let front = front_of(&head.headers);
--- a/crates/lab/src/standin/server.rs
+++ b/crates/lab/src/standin/server.rs
@@ -10,7 +10,7 @@
 use cloverhollow_hints::cmsd::{self, Hop, Static};
 use cloverhollow_hints::{Faults as HintFaults, Group};
 use cloverhollow_http::{Limits, Method, RequestFrame, RequestHead, ResponseHead};
-use cloverhollow_net::{answer, read_body, wait_closed, ServerConn, ServerSide};
+use cloverhollow_net::{read_body, wait_closed, write_response, ServerCodec, ServerConn};
 use cloverhollow_session::arrival::{over, rates};
 use cloverhollow_settings::FrontSettings;
 use futures_util::StreamExt;
@@ -245,7 +245,7 @@
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut conn: ServerConn = Framed::new(stream, ServerSide::new(Limits::default()));
+        let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
         while let Some(Ok(RequestFrame::Head(head))) = conn.next().await {
             let Ok(Some(body)) = read_body(&mut conn, 1 << 20).await else { return };
             let arrived = self.world.log.now();
@@ -255,7 +255,7 @@
             let served = match head.method {
                 Method::Post => self.reports(&mut conn, &body).await,
                 Method::Get => self.object(&mut conn, &head, arrived).await,
-                _ => answer(&mut conn, ResponseHead::new(405, 0), Bytes::new()).await.ok(),
+                _ => write_response(&mut conn, ResponseHead::new(405, 0), Bytes::new()).await.ok(),
             };
             if served.is_none() || !head.keep_alive {
                 return;
@@ -274,7 +274,7 @@
                 }
             }
         }
-        answer(conn, ResponseHead::new(204, 0), Bytes::new()).await.ok()
+        write_response(conn, ResponseHead::new(204, 0), Bytes::new()).await.ok()
     }
 
     async fn object(&self, conn: &mut ServerConn, head: &RequestHead, arrived: Duration) -> Option<()> {
@@ -286,7 +286,7 @@
         }
         let found = self.world.site.mapping.path.find(head.target.path());
         let (Some(sid), Some(found)) = (hints.sid.clone(), found) else {
-            return answer(conn, ResponseHead::new(404, 0), Bytes::new()).await.ok();
+            return write_response(conn, ResponseHead::new(404, 0), Bytes::new()).await.ok();
         };
         let sid: Arc<str> = sid.into();
         let title = found.title.unwrap_or_default();
@@ -382,7 +382,7 @@
             };
             head.headers.push(cmsd::STATIC, object.write());
         }
-        answer(conn, head, vec![b'v'; size]).await.ok()
+        write_response(conn, head, vec![b'v'; size]).await.ok()
     }
 }
 
--- a/crates/lab/src/viewer_http.rs
+++ b/crates/lab/src/viewer_http.rs
@@ -128,13 +128,13 @@
             }
         };
         let exchange = async {
-            conn.send(self.request(v, sid, 0, 0), Bytes::new()).await?;
-            let head = conn.head().await?;
+            conn.send_request(self.request(v, sid, 0, 0), Bytes::new()).await?;
+            let head = conn.read_head().await?;
             let waited = self.log.now() - begun;
             let told = heard(&head);
             // The one answer is there with its head; what is cut later is a break of play.
             ended(Got::Status { status: told.status, reason: told.reason.clone() });
-            while conn.data().await?.is_some() {}
+            while conn.read_body_chunk().await?.is_some() {}
             Ok::<_, WireError>((told, waited))
         };
         let hang_up = v.hang_up.unwrap_or(patience + Duration::from_secs(60));
@@ -156,7 +156,7 @@
                 return Err(Try::Again(Duration::ZERO));
             }
         };
-        if conn.has_unasked() {
+        if conn.has_unsolicited_data() {
             self.log.put(Seen::Stray { call, sid: sid.clone() });
         }
         self.tally.answered(told.status, waited);
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,6 +1,6 @@
 //! One connection to a server.
 
-use crate::codec::{ClientSide, WireError};
+use crate::codec::{ClientCodec, WireError};
 use bytes::Bytes;
 use cloverhollow_http::{Limits, Malformed, RequestFrame, RequestHead, ResponseFrame, ResponseHead};
 use futures_util::{SinkExt, StreamExt};
@@ -12,7 +12,7 @@
 /// A connection that carries one exchange at a time.
 #[derive(Debug)]
 pub struct ClientConn {
-    framed: Framed<TcpStream, ClientSide>,
+    framed: Framed<TcpStream, ClientCodec>,
     keep_alive: bool,
 }
 
@@ -23,13 +23,13 @@
 pub async fn connect(address: SocketAddr) -> std::io::Result<ClientConn> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let framed = Framed::with_capacity(stream, ClientSide::new(Limits::default()), 2048);
+    let framed = Framed::with_capacity(stream, ClientCodec::new(Limits::default()), 2048);
     Ok(ClientConn { framed, keep_alive: true })
 }
 
 impl ClientConn {
     /// Whether the peer has left it open and sent nothing unasked. A close that is under way is not seen.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_open_and_idle(&self) -> bool {
         let mut byte = [0];
         let quiet = |e: std::io::Error| e.kind() == ErrorKind::WouldBlock;
         self.keep_alive
@@ -38,7 +38,7 @@
     }
 
     /// Whether bytes have come that answer nothing. One is taken off: the connection is of no more use then.
-    pub fn has_unasked(&self) -> bool {
+    pub fn has_unsolicited_data(&self) -> bool {
         let mut byte = [0];
         !self.framed.read_buffer().is_empty()
             || matches!(self.framed.get_ref().try_read(&mut byte), Ok(n) if n > 0)
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// The socket's. Some of the request may have gone out all the same.
-    pub async fn send(&mut self, head: RequestHead, body: Bytes) -> Result<(), WireError> {
+    pub async fn send_request(&mut self, head: RequestHead, body: Bytes) -> Result<(), WireError> {
         self.keep_alive &= head.keep_alive;
         self.framed.feed(RequestFrame::Head(head)).await?;
         if !body.is_empty() {
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// The peer closed first, the socket failed, or what came is no response.
-    pub async fn head(&mut self) -> Result<ResponseHead, WireError> {
+    pub async fn read_head(&mut self) -> Result<ResponseHead, WireError> {
         match self.framed.next().await {
             Some(Ok(ResponseFrame::Head(head))) => {
                 self.keep_alive &= head.keep_alive;
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// The body was cut, or the socket failed.
-    pub async fn data(&mut self) -> Result<Option<Bytes>, WireError> {
+    pub async fn read_body_chunk(&mut self) -> Result<Option<Bytes>, WireError> {
         match self.framed.next().await {
             Some(Ok(ResponseFrame::Data(data))) => Ok(Some(data)),
             Some(Ok(ResponseFrame::End)) => Ok(None),
@@ -97,10 +97,10 @@
         body: Bytes,
         most: usize,
     ) -> Result<(ResponseHead, Vec<u8>), WireError> {
-        self.send(head, body).await?;
-        let head = self.head().await?;
+        self.send_request(head, body).await?;
+        let head = self.read_head().await?;
         let mut out = Vec::new();
-        while let Some(data) = self.data().await? {
+        while let Some(data) = self.read_body_chunk().await? {
             if out.len() + data.len() > most {
                 return Err(std::io::Error::new(ErrorKind::InvalidData, "body over its bound").into());
             }
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -16,7 +16,7 @@
 const AT_START: Duration = Duration::from_secs(86_400);
 
 /// Time since the machine started.
-pub fn boottime() -> Duration {
+pub fn time_since_boot() -> Duration {
     let t = clock_gettime(ClockId::Boottime);
     Duration::new(t.tv_sec.max(0) as u64, t.tv_nsec.clamp(0, 999_999_999) as u32)
 }
@@ -29,12 +29,12 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Clock { start: boottime() }
+        Clock { start: time_since_boot() }
     }
 
     /// The time.
     pub fn now(&self) -> Duration {
-        AT_START + boottime().saturating_sub(self.start)
+        AT_START + time_since_boot().saturating_sub(self.start)
     }
 
     /// That time as the runtime knows it. After a suspend a wait is as much too long; whoever waits by it
--- a/crates/net/src/codec.rs
+++ b/crates/net/src/codec.rs
@@ -20,19 +20,19 @@
 
 /// The side that reads requests and writes responses.
 #[derive(Debug, Default)]
-pub struct ServerSide {
+pub struct ServerCodec {
     decoder: RequestDecoder,
     encoder: ResponseEncoder,
 }
 
-impl ServerSide {
+impl ServerCodec {
     /// With bounds on what a request may hold.
     pub fn new(limits: Limits) -> Self {
-        ServerSide { decoder: RequestDecoder::new(limits), ..Self::default() }
+        ServerCodec { decoder: RequestDecoder::new(limits), ..Self::default() }
     }
 }
 
-impl Decoder for ServerSide {
+impl Decoder for ServerCodec {
     type Item = RequestFrame;
     type Error = WireError;
 
@@ -49,7 +49,7 @@
     }
 }
 
-impl Encoder<ResponseFrame> for ServerSide {
+impl Encoder<ResponseFrame> for ServerCodec {
     type Error = WireError;
 
     fn encode(&mut self, frame: ResponseFrame, buf: &mut BytesMut) -> Result<(), WireError> {
@@ -60,19 +60,19 @@
 
 /// The side that writes requests and reads responses.
 #[derive(Debug, Default)]
-pub struct ClientSide {
+pub struct ClientCodec {
     decoder: ResponseDecoder,
     encoder: RequestEncoder,
 }
 
-impl ClientSide {
+impl ClientCodec {
     /// With bounds on what a response's head may hold.
     pub fn new(limits: Limits) -> Self {
-        ClientSide { decoder: ResponseDecoder::new(limits), ..Self::default() }
+        ClientCodec { decoder: ResponseDecoder::new(limits), ..Self::default() }
     }
 }
 
-impl Decoder for ClientSide {
+impl Decoder for ClientCodec {
     type Item = ResponseFrame;
     type Error = WireError;
 
@@ -85,7 +85,7 @@
     }
 }
 
-impl Encoder<RequestFrame> for ClientSide {
+impl Encoder<RequestFrame> for ClientCodec {
     type Error = WireError;
 
     fn encode(&mut self, frame: RequestFrame, buf: &mut BytesMut) -> Result<(), WireError> {
--- a/crates/net/src/events.rs
+++ b/crates/net/src/events.rs
@@ -4,27 +4,27 @@
 use bytes::BytesMut;
 
 /// Longest line of a stream, bytes. A list of many servers is one line.
-pub const MOST_EVENT_LINE: usize = 16 * 1024 * 1024;
+pub const MAX_EVENT_LINE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Takes a stream apart into the data of its events. No I/O.
 #[derive(Debug)]
-pub struct EventLines {
+pub struct EventStreamDecoder {
     most: usize,
     buf: BytesMut,
     data: String,
     seen: usize,
 }
 
-impl Default for EventLines {
+impl Default for EventStreamDecoder {
     fn default() -> Self {
-        EventLines::new(MOST_EVENT_LINE)
+        EventStreamDecoder::new(MAX_EVENT_LINE_BYTES)
     }
 }
 
-impl EventLines {
+impl EventStreamDecoder {
     /// For lines and events of at most that many bytes.
     pub fn new(most: usize) -> Self {
-        EventLines { most, buf: BytesMut::new(), data: String::new(), seen: 0 }
+        EventStreamDecoder { most, buf: BytesMut::new(), data: String::new(), seen: 0 }
     }
 
     /// Adds bytes and gives the data of the events that are whole now.
@@ -70,14 +70,14 @@
     fn events_come_whole_whatever_the_pieces() {
         let text = ": hello\n\ndata: a\ndata: b\r\n\r\nid: 5\ndata:c\n\n\n\ndata: cut";
         for size in 1..text.len() {
-            let mut lines = EventLines::default();
+            let mut lines = EventStreamDecoder::default();
             let mut all = Vec::new();
             for piece in text.as_bytes().chunks(size) {
                 all.extend(lines.push(piece).unwrap());
             }
             assert_eq!(all, ["a\nb", "c"], "pieces of {size}");
         }
-        assert!(EventLines::default().push(b"data: \xff\n").is_err());
-        assert!(EventLines::new(16).push(b"data: without an end").is_err());
+        assert!(EventStreamDecoder::default().push(b"data: \xff\n").is_err());
+        assert!(EventStreamDecoder::new(16).push(b"data: without an end").is_err());
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -7,12 +7,14 @@
 mod clock;
 mod codec;
 mod events;
-mod gate;
+mod send_decision;
 mod serve;
 
 pub use client::{connect, ClientConn};
-pub use clock::{boottime, unix_ms, Clock};
-pub use codec::{ClientSide, ServerSide, WireError};
-pub use events::{EventLines, MOST_EVENT_LINE};
-pub use gate::Gate;
-pub use serve::{answer, linger, linger_for, read_body, wait_closed, ServerConn};
+pub use clock::{time_since_boot, unix_ms, Clock};
+pub use codec::{ClientCodec, ServerCodec, WireError};
+pub use events::{EventStreamDecoder, MAX_EVENT_LINE_BYTES};
+pub use send_decision::SendDecision;
+pub use serve::{
+    lingering_close, lingering_close_within, read_body, wait_closed, write_response, ServerConn,
+};
--- a/crates/net/src/serve.rs
+++ b/crates/net/src/serve.rs
@@ -1,6 +1,6 @@
 //! One connection from a client, on the server's side.
 
-use crate::codec::{ServerSide, WireError};
+use crate::codec::{ServerCodec, WireError};
 use bytes::Bytes;
 use cloverhollow_http::{RequestFrame, ResponseFrame, ResponseHead};
 use futures_util::{SinkExt, StreamExt};
@@ -12,13 +12,13 @@
 use tokio_util::codec::Framed;
 
 /// A connection from a client.
-pub type ServerConn = Framed<TcpStream, ServerSide>;
+pub type ServerConn = Framed<TcpStream, ServerCodec>;
 
 /// Writes a whole response.
 ///
 /// # Errors
 /// The socket's.
-pub async fn answer(
+pub async fn write_response(
     conn: &mut ServerConn,
     head: ResponseHead,
     body: impl Into<Bytes>,
@@ -69,14 +69,14 @@
 /// Longest time that it is.
 const LINGER: Duration = Duration::from_millis(300);
 
-/// Closes after a last answer, as [`linger_for`] a moment.
-pub async fn linger(stream: TcpStream) {
-    linger_for(stream, LINGER, LINGER_BYTES).await;
+/// Closes after a last answer, as [`lingering_close_within`] a moment.
+pub async fn lingering_close(stream: TcpStream) {
+    lingering_close_within(stream, LINGER, LINGER_BYTES).await;
 }
 
 /// Closes after a last answer. What the client still sends is read for so long, and so many bytes of it: closing
 /// over unread bytes would reset the connection and could take the answer with it (RFC 9112, section 9.6).
-pub async fn linger_for(mut stream: TcpStream, within: Duration, most: usize) {
+pub async fn lingering_close_within(mut stream: TcpStream, within: Duration, most: usize) {
     let _ = timeout(within, async {
         stream.shutdown().await.ok()?;
         let (mut buf, mut left) = ([0; 4096], most);
--- a/crates/node/src/channel.rs
+++ b/crates/node/src/channel.rs
@@ -3,7 +3,7 @@
 use crate::mail::Mail;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
-use cloverhollow_net::{connect, EventLines, WireError};
+use cloverhollow_net::{connect, EventStreamDecoder, WireError};
 use cloverhollow_platform::backoff::Backoff;
 use cloverhollow_platform::channel::{ChannelError, Directory};
 use std::net::SocketAddr;
@@ -89,15 +89,15 @@
     head.headers.push("host", from.address.to_string());
     head.headers.push("accept", "text/event-stream");
     head.headers.push("last-event-id", from.cursor.to_string());
-    conn.send(head, Bytes::new()).await?;
-    let head = timeout(BEGIN, conn.head()).await.map_err(|_| Broken::Silent)??;
+    conn.send_request(head, Bytes::new()).await?;
+    let head = timeout(BEGIN, conn.read_head()).await.map_err(|_| Broken::Silent)??;
     if head.status != 200 {
         return Err(Broken::Status(head.status));
     }
     // A part of an event that a break leaves behind goes with the stream.
-    let mut lines = EventLines::new(MOST_EVENT);
+    let mut lines = EventStreamDecoder::new(MOST_EVENT);
     loop {
-        let data = timeout(SILENT, conn.data()).await.map_err(|_| Broken::Silent)??;
+        let data = timeout(SILENT, conn.read_body_chunk()).await.map_err(|_| Broken::Silent)??;
         let Some(data) = data else { return Ok(()) };
         for event in lines.push(&data).map_err(Broken::Lines)? {
             if mail.send(Mail::Told(stream, Directory::read(&event)?)).await.is_err() {
--- a/crates/node/src/links/ends.rs
+++ b/crates/node/src/links/ends.rs
@@ -47,7 +47,7 @@
             Down::Refused | Down::NotUp => AttemptEnd::NotConnected,
             Down::Own => AttemptEnd::NeverSent,
             // The first byte had not gone out and now never will: a used connection broke under the set-up's feet.
-            Down::Broke | Down::Spoilt if link.gate.recall() => AttemptEnd::NeverSent,
+            Down::Broke | Down::Spoilt if link.gate.try_cancel() => AttemptEnd::NeverSent,
             Down::Broke => AttemptEnd::Reset,
             Down::Spoilt => {
                 // Its session may stand already: the answer is what was spoilt.
@@ -68,7 +68,7 @@
     pub(crate) fn recall(&mut self, attempt: AttemptId, why: RecallWhy) -> Ended {
         let id = self.out.get(&attempt).copied()?;
         let link = self.links.get(&id)?;
-        let (unsent, up) = (link.gate.recall(), link.up);
+        let (unsent, up) = (link.gate.try_cancel(), link.up);
         if !unsent && why == RecallWhy::Drained {
             return None;
         }
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -10,7 +10,7 @@
 use crate::viewer::Waits;
 use bytes::Bytes;
 use cloverhollow::ServerId;
-use cloverhollow_net::{Clock, Gate};
+use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::lines::{cause, Line};
 use cloverhollow_platform::watch::{Act, Down, LinkId, Watch};
 use cloverhollow_session::{AttemptEnd, AttemptId, RecallWhy, Sid};
@@ -69,7 +69,7 @@
     /// goes on one connection twice.
     last: Option<Sid>,
     /// Settles whether that set-up's first byte goes out.
-    gate: Arc<Gate>,
+    gate: Arc<SendDecision>,
 }
 
 /// A set-up to be sent.
@@ -130,7 +130,7 @@
     /// Sends a set-up, on a connection that is there and may carry it, else on a new one.
     pub(crate) fn send(&mut self, out: Outgoing) {
         let Outgoing { attempt, server, address, sid, paid, line, until, waits } = out;
-        let gate = Arc::new(Gate::default());
+        let gate = Arc::new(SendDecision::default());
         let mut first = First { attempt, line, gate: gate.clone(), until, clock: self.clock, waits };
         let used = self.watch.take(self.clock.now(), server, paid);
         if let Some((id, link)) = used.and_then(|id| Some((id, self.links.get_mut(&id)?))) {
--- a/crates/node/src/listen.rs
+++ b/crates/node/src/listen.rs
@@ -3,7 +3,7 @@
 use crate::mail::Mail;
 use crate::viewer::{Bell, Came, Reply, Viewer, ViewerHold};
 use bytes::BytesMut;
-use cloverhollow_net::{linger, linger_for};
+use cloverhollow_net::{lingering_close, lingering_close_within};
 use cloverhollow_platform::rtsp::{self, Addressee, Malformed};
 use cloverhollow_platform::standing::ConnId;
 use std::io::{Error, ErrorKind};
@@ -193,9 +193,9 @@
     tokio::select! {
         () = async {
             match closing {
-                Closing::Refused => linger_for(stream, LINGER, LINGER_BYTES).await,
+                Closing::Refused => lingering_close_within(stream, LINGER, LINGER_BYTES).await,
                 // Over bytes that were not read a close is a reset, which could take along what was just written.
-                _ if last_words && reading != Reading::Over => linger(stream).await,
+                _ if last_words && reading != Reading::Over => lingering_close(stream).await,
                 _ => {}
             }
         } => {}
--- a/crates/node/src/mail.rs
+++ b/crates/node/src/mail.rs
@@ -2,7 +2,7 @@
 
 use crate::viewer::{ViewerHold, Waits};
 use bytes::Bytes;
-use cloverhollow_net::{Clock, Gate};
+use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::channel::Told;
 use cloverhollow_platform::config::Config;
 use cloverhollow_platform::lines::Line;
@@ -37,7 +37,7 @@
     pub(crate) attempt: AttemptId,
     pub(crate) line: Bytes,
     /// Settles whether its first byte goes out.
-    pub(crate) gate: Arc<Gate>,
+    pub(crate) gate: Arc<SendDecision>,
     /// If it has not gone out by then, it never does.
     pub(crate) until: Duration,
     pub(crate) clock: Clock,
@@ -61,7 +61,7 @@
     pub(crate) fn pass(&self) -> Passed {
         if self.clock.now() > self.until || self.waits.as_ref().is_some_and(Waits::has_left) {
             Passed::Moot
-        } else if self.gate.send() {
+        } else if self.gate.try_send() {
             Passed::Goes
         } else {
             Passed::Recalled
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -36,7 +36,7 @@
 
 impl NodeError {
     /// The process's exit code: 2 for the configuration, 1 for the rest.
-    pub fn code(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         match self {
             NodeError::Unreadable { .. } | NodeError::Config { .. } => 2,
             _ => 1,
--- a/crates/node/src/viewer/tests.rs
+++ b/crates/node/src/viewer/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::link::{self, Way};
 use crate::mail::{First, Mail, Passed, MOST_MAILS};
-use cloverhollow_net::{Clock, Gate};
+use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::watch::LinkId;
 use cloverhollow_session::AttemptId;
 use std::io::Write;
@@ -30,7 +30,7 @@
     First {
         attempt,
         line: Bytes::from_static(b"a line\n"),
-        gate: Arc::new(Gate::default()),
+        gate: Arc::new(SendDecision::default()),
         until,
         clock,
         waits,
