--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -1,8 +1,6 @@
-//! A viewer's connection: requests one after the other, each with exactly one answer.
-//!
-//! Memory of one connection: a head of `listen.head_bytes`, a report of `listen.report_bytes` or one frame
-//! of an answer. Time: `listen.idle_ms` between requests, `listen.head_ms` for a head once its first byte
-//! has come, and for a body.
+//! A viewer's connection: sequential requests, each with exactly one response. It holds at most a head of
+//! `listen.head_bytes`, a report of `listen.report_bytes` or one frame of a response. Time limits: `listen.idle_ms`
+//! between requests; `listen.head_ms` for a head once its first byte has arrived, and for a body.
 
 use crate::desk::Mail;
 use crate::object;
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! One connection to a server.
+//! Client side of an HTTP/1.1 connection.
 
 use crate::codec::{ClientCodec, WireError};
 use bytes::Bytes;
@@ -9,17 +9,17 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-/// A connection that carries one exchange at a time.
+/// A client connection that carries one request and its response at a time.
 #[derive(Debug)]
 pub struct ClientConn {
     framed: Framed<TcpStream, ClientCodec>,
     keep_alive: bool,
 }
 
-/// Opens a connection. No time-out of its own: the caller sets one.
+/// Opens a connection. There is no built-in time-out; the caller sets one.
 ///
 /// # Errors
-/// The socket's.
+/// Connecting or setting `TCP_NODELAY` failed.
 pub async fn connect(address: SocketAddr) -> std::io::Result<ClientConn> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
@@ -28,26 +28,28 @@
 }
 
 impl ClientConn {
-    /// Whether the peer has left it open and sent nothing unasked. A close that is under way is not seen.
+    /// Returns whether the server still has the connection open and has sent no unsolicited data. A close that is
+    /// still in transit is not detected.
     pub fn is_open_and_idle(&self) -> bool {
         let mut byte = [0];
-        let quiet = |e: std::io::Error| e.kind() == ErrorKind::WouldBlock;
+        let would_block = |e: std::io::Error| e.kind() == ErrorKind::WouldBlock;
         self.keep_alive
             && self.framed.read_buffer().is_empty()
-            && self.framed.get_ref().try_read(&mut byte).is_err_and(quiet)
+            && self.framed.get_ref().try_read(&mut byte).is_err_and(would_block)
     }
 
-    /// Whether bytes have come that answer nothing. One is taken off: the connection is of no more use then.
+    /// Returns whether bytes arrived that belong to no request. The check consumes one byte, so the connection must
+    /// not be used after it returned true.
     pub fn has_unsolicited_data(&self) -> bool {
         let mut byte = [0];
         !self.framed.read_buffer().is_empty()
             || matches!(self.framed.get_ref().try_read(&mut byte), Ok(n) if n > 0)
     }
 
-    /// Puts the head and body of a request on the wire.
+    /// Writes the head and body of a request.
     ///
     /// # Errors
-    /// The socket's. Some of the request may have gone out all the same.
+    /// The write failed. Part of the request may have been sent all the same.
     pub async fn send_request(&mut self, head: RequestHead, body: Bytes) -> Result<(), WireError> {
         self.keep_alive &= head.keep_alive;
         self.framed.feed(RequestFrame::Head(head)).await?;
@@ -57,10 +59,10 @@
         self.framed.send(RequestFrame::End).await
     }
 
-    /// The head of the response. No time-out of its own.
+    /// Reads the head of the response. There is no built-in time-out.
     ///
     /// # Errors
-    /// The peer closed first, the socket failed, or what came is no response.
+    /// The server closed the connection first, the read failed, or the bytes are not a valid response.
     pub async fn read_head(&mut self) -> Result<ResponseHead, WireError> {
         match self.framed.next().await {
             Some(Ok(ResponseFrame::Head(head))) => {
@@ -73,10 +75,10 @@
         }
     }
 
-    /// The next part of the body; `None` when it is whole. No time-out of its own.
+    /// Reads the next chunk of the body; `None` at its end. There is no built-in time-out.
     ///
     /// # Errors
-    /// The body was cut, or the socket failed.
+    /// The body was truncated, or the read failed.
     pub async fn read_body_chunk(&mut self) -> Result<Option<Bytes>, WireError> {
         match self.framed.next().await {
             Some(Ok(ResponseFrame::Data(data))) => Ok(Some(data)),
@@ -87,29 +89,29 @@
         }
     }
 
-    /// Sends a request and reads the whole response, its body up to `most` bytes.
+    /// Sends a request and reads the whole response, with a body of at most `max_body_bytes`.
     ///
     /// # Errors
-    /// As [`ClientConn::send`] and [`ClientConn::head`], or a longer body.
+    /// As for [`ClientConn::send_request`] and [`ClientConn::read_head`], or the body is too long.
     pub async fn exchange(
         &mut self,
         head: RequestHead,
         body: Bytes,
-        most: usize,
+        max_body_bytes: usize,
     ) -> Result<(ResponseHead, Vec<u8>), WireError> {
         self.send_request(head, body).await?;
         let head = self.read_head().await?;
-        let mut out = Vec::new();
+        let mut response_body = Vec::new();
         while let Some(data) = self.read_body_chunk().await? {
-            if out.len() + data.len() > most {
-                return Err(std::io::Error::new(ErrorKind::InvalidData, "body over its bound").into());
+            if response_body.len() + data.len() > max_body_bytes {
+                return Err(std::io::Error::new(ErrorKind::InvalidData, "response body too long").into());
             }
-            out.extend_from_slice(&data);
+            response_body.extend_from_slice(&data);
         }
-        Ok((head, out))
+        Ok((head, response_body))
     }
 
-    /// Whether another exchange may follow on it, the last one being whole.
+    /// Returns whether the connection may carry another request after the last response was read completely.
     pub fn is_reusable(&self) -> bool {
         self.keep_alive
     }
--- a/crates/net/src/codec.rs
+++ b/crates/net/src/codec.rs
@@ -1,4 +1,4 @@
-//! `Framed` codecs over the codec without I/O.
+//! `tokio_util` codecs around the I/O-free HTTP codec of [`cloverhollow_http`].
 
 use bytes::BytesMut;
 use cloverhollow_http::{
@@ -7,18 +7,18 @@
 };
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Why a connection is of no more use.
+/// Error after which a connection cannot be used any more.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The peer sent what is no message.
+    /// The peer sent bytes that are not a valid HTTP message.
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    /// The socket failed.
+    /// A socket operation failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// The side that reads requests and writes responses.
+/// Codec of a server connection: decodes requests and encodes responses.
 #[derive(Debug, Default)]
 pub struct ServerCodec {
     decoder: RequestDecoder,
@@ -26,7 +26,7 @@
 }
 
 impl ServerCodec {
-    /// With bounds on what a request may hold.
+    /// Creates a codec that rejects requests larger than `limits`.
     pub fn new(limits: Limits) -> Self {
         ServerCodec { decoder: RequestDecoder::new(limits), ..Self::default() }
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// The side that writes requests and reads responses.
+/// Codec of a client connection: encodes requests and decodes responses.
 #[derive(Debug, Default)]
 pub struct ClientCodec {
     decoder: ResponseDecoder,
@@ -66,7 +66,7 @@
 }
 
 impl ClientCodec {
-    /// With bounds on what a response's head may hold.
+    /// Creates a codec that rejects response heads larger than `limits`.
     pub fn new(limits: Limits) -> Self {
         ClientCodec { decoder: ResponseDecoder::new(limits), ..Self::default() }
     }
--- a/crates/net/src/events.rs
+++ b/crates/net/src/events.rs
@@ -1,18 +1,19 @@
-//! Server-sent events (HTML standard, section 9.2), as far as a list of servers needs them: the data of each
-//! event, and that the stream lives.
+//! Decoder for server-sent events (HTML standard, section 9.2). Only the `data` field of each event is used; comments
+//! serve as keep-alives.
 
 use bytes::BytesMut;
 
-/// Longest line of a stream, bytes. A list of many servers is one line.
+/// Maximum length of a line of an event stream, in bytes. A server list of a large fleet is a single line.
 pub const MAX_EVENT_LINE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Takes a stream apart into the data of its events. No I/O.
+/// Incremental decoder that splits an event stream into the data of its events. Performs no I/O.
 #[derive(Debug)]
 pub struct EventStreamDecoder {
-    most: usize,
+    max_bytes: usize,
     buf: BytesMut,
     data: String,
-    seen: usize,
+    /// Length of the prefix of `buf` that has been searched for a line end.
+    searched: usize,
 }
 
 impl Default for EventStreamDecoder {
@@ -22,43 +23,43 @@
 }
 
 impl EventStreamDecoder {
-    /// For lines and events of at most that many bytes.
-    pub fn new(most: usize) -> Self {
-        EventStreamDecoder { most, buf: BytesMut::new(), data: String::new(), seen: 0 }
+    /// Creates a decoder that accepts lines and events of at most `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
+        EventStreamDecoder { max_bytes, buf: BytesMut::new(), data: String::new(), searched: 0 }
     }
 
-    /// Adds bytes and gives the data of the events that are whole now.
+    /// Appends bytes of the stream and returns the data of each event that they complete.
     ///
     /// # Errors
-    /// A line or an event over the bound, or a line that is no UTF-8.
+    /// A line or an event exceeds the size limit, or a line is not UTF-8.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<String>, &'static str> {
         self.buf.extend_from_slice(bytes);
-        let mut out = Vec::new();
-        while let Some(end) = self.buf[self.seen..].iter().position(|b| *b == b'\n') {
-            let line = self.buf.split_to(self.seen + end + 1);
-            self.seen = 0;
-            let line = std::str::from_utf8(&line).map_err(|_| "a line that is no UTF-8")?;
+        let mut events = Vec::new();
+        while let Some(end) = self.buf[self.searched..].iter().position(|b| *b == b'\n') {
+            let line = self.buf.split_to(self.searched + end + 1);
+            self.searched = 0;
+            let line = std::str::from_utf8(&line).map_err(|_| "event stream line is not UTF-8")?;
             let line = line.trim_end_matches(['\r', '\n']);
             if line.is_empty() {
                 if !self.data.is_empty() {
-                    out.push(std::mem::take(&mut self.data));
+                    events.push(std::mem::take(&mut self.data));
                 }
             } else if let Some(data) = line.strip_prefix("data:") {
                 if !self.data.is_empty() {
                     self.data.push('\n');
                 }
                 self.data.push_str(data.strip_prefix(' ').unwrap_or(data));
-                if self.data.len() > self.most {
-                    return Err("an event over its bound");
+                if self.data.len() > self.max_bytes {
+                    return Err("event exceeds the size limit");
                 }
             }
-            // Comments keep the stream alive; other fields are not used.
+            // Comments and all other fields are ignored.
         }
-        self.seen = self.buf.len();
-        if self.seen > self.most {
-            return Err("a line over its bound");
+        self.searched = self.buf.len();
+        if self.searched > self.max_bytes {
+            return Err("event stream line exceeds the size limit");
         }
-        Ok(out)
+        Ok(events)
     }
 }
 
@@ -67,15 +68,15 @@
     use super::*;
 
     #[test]
-    fn events_come_whole_whatever_the_pieces() {
+    fn events_are_decoded_for_any_chunk_size() {
         let text = ": hello\n\ndata: a\ndata: b\r\n\r\nid: 5\ndata:c\n\n\n\ndata: cut";
         for size in 1..text.len() {
-            let mut lines = EventStreamDecoder::default();
-            let mut all = Vec::new();
-            for piece in text.as_bytes().chunks(size) {
-                all.extend(lines.push(piece).unwrap());
+            let mut decoder = EventStreamDecoder::default();
+            let mut events = Vec::new();
+            for chunk in text.as_bytes().chunks(size) {
+                events.extend(decoder.push(chunk).unwrap());
             }
-            assert_eq!(all, ["a\nb", "c"], "pieces of {size}");
+            assert_eq!(events, ["a\nb", "c"], "chunk size {size}");
         }
         assert!(EventStreamDecoder::default().push(b"data: \xff\n").is_err());
         assert!(EventStreamDecoder::new(16).push(b"data: without an end").is_err());
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 over tokio, for fronts, stand-ins and tools alike.
+//! HTTP/1.1 over Tokio: client and server connections, server-sent events, and the process clock.
 //!
-//! The bytes are [`cloverhollow_http`]'s; here they are put on sockets by `tokio_util`'s `Framed`. Nothing
-//! here retries or decides. Every future is cancel-safe in one way: dropping it drops the connection.
+//! [`cloverhollow_http`] parses and encodes the bytes; this crate moves them over sockets with `tokio_util`'s
+//! `Framed`. Nothing is retried here. A connection whose future was dropped half-way must not be used again.
 
 mod client;
 mod clock;
--- a/crates/net/src/send_decision.rs
+++ b/crates/net/src/send_decision.rs
@@ -1,28 +1,30 @@
-//! Whether the first byte of something has gone out: settled by one step.
+//! One-time decision between sending a request and cancelling it.
 
 use std::sync::atomic::{AtomicU8, Ordering::AcqRel, Ordering::Acquire};
 
-const UNSENT: u8 = 0;
-const SENDING: u8 = 1;
+const UNDECIDED: u8 = 0;
+const SENT: u8 = 1;
 const CANCELLED: u8 = 2;
 
-/// Whoever passes first has it: the sender, or the recall. There is no instant at which both believe to have
-/// been first.
+/// Atomic flag shared by the sender of a request and the task that may cancel it. The first of
+/// [`try_send`](Self::try_send) and [`try_cancel`](Self::try_cancel) wins, and the other one fails from then on, so
+/// that a cancelled request is provably never sent.
 #[derive(Debug, Default)]
 pub struct SendDecision(AtomicU8);
 
 impl SendDecision {
-    fn pass(&self, to: u8) -> bool {
-        self.0.compare_exchange(UNSENT, to, AcqRel, Acquire).is_ok()
+    fn try_decide(&self, to: u8) -> bool {
+        self.0.compare_exchange(UNDECIDED, to, AcqRel, Acquire).is_ok()
     }
 
-    /// Before the first byte: whether it may go out.
+    /// Claims the right to send; called before the first byte is written. Returns false if the request was cancelled
+    /// or already claimed.
     pub fn try_send(&self) -> bool {
-        self.pass(SENDING)
+        self.try_decide(SENT)
     }
 
-    /// Whether the first byte had not gone out, and now never will.
+    /// Cancels the request. Returns true if no byte of it has been written, and none will be.
     pub fn try_cancel(&self) -> bool {
-        self.pass(CANCELLED)
+        self.try_decide(CANCELLED)
     }
 }
--- a/crates/net/src/serve.rs
+++ b/crates/net/src/serve.rs
@@ -1,4 +1,4 @@
-//! One connection from a client, on the server's side.
+//! Server side of an HTTP/1.1 connection.
 
 use crate::codec::{ServerCodec, WireError};
 use bytes::Bytes;
@@ -11,13 +11,13 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// A connection from a client.
+/// Connection accepted from a client.
 pub type ServerConn = Framed<TcpStream, ServerCodec>;
 
-/// Writes a whole response.
+/// Writes a complete response.
 ///
 /// # Errors
-/// The socket's.
+/// The write failed.
 pub async fn write_response(
     conn: &mut ServerConn,
     head: ResponseHead,
@@ -31,19 +31,19 @@
     conn.send(ResponseFrame::End).await
 }
 
-/// Reads the rest of a request; `None` where its body is over `most` bytes (what follows is lost then, the
-/// connection must be closed).
+/// Reads the rest of a request and returns its body. `None` if the body exceeds `max_bytes`; the connection must then
+/// be closed, as the rest of the body is not read.
 ///
 /// # Errors
-/// The request was cut or malformed, or the socket failed.
-pub async fn read_body(conn: &mut ServerConn, most: usize) -> Result<Option<Vec<u8>>, WireError> {
-    let mut out = Vec::new();
+/// The request was truncated or malformed, or the read failed.
+pub async fn read_body(conn: &mut ServerConn, max_bytes: usize) -> Result<Option<Vec<u8>>, WireError> {
+    let mut body = Vec::new();
     loop {
         match conn.next().await {
-            Some(Ok(RequestFrame::Data(data))) if out.len() + data.len() <= most => {
-                out.extend_from_slice(&data)
+            Some(Ok(RequestFrame::Data(data))) if body.len() + data.len() <= max_bytes => {
+                body.extend_from_slice(&data)
             }
-            Some(Ok(RequestFrame::End)) => return Ok(Some(out)),
+            Some(Ok(RequestFrame::End)) => return Ok(Some(body)),
             Some(Ok(_)) => return Ok(None),
             Some(Err(e)) => return Err(e),
             None => return Err(cloverhollow_http::Malformed::Cut.into()),
@@ -51,8 +51,8 @@
     }
 }
 
-/// Waits until the client has closed its side. Never ends while a further request waits to be read: then
-/// the client is there.
+/// Waits until the client has closed its side. Does not complete while a pipelined request is unread, as the client is
+/// then still connected.
 pub async fn wait_closed(conn: &ServerConn) {
     if !conn.read_buffer().is_empty() {
         return pending().await;
@@ -64,26 +64,27 @@
     }
 }
 
-/// Most bytes that a closing connection is read for.
-const LINGER_BYTES: usize = 64 * 1024;
-/// Longest time that it is.
-const LINGER: Duration = Duration::from_millis(300);
+/// Maximum number of bytes read and discarded by [`lingering_close`].
+const LINGER_MAX_BYTES: usize = 64 * 1024;
+/// Maximum duration of [`lingering_close`].
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Closes after a last answer, as [`lingering_close_within`] a moment.
+/// Closes a connection after its last response, as [`lingering_close_within`] with the default limits.
 pub async fn lingering_close(stream: TcpStream) {
-    lingering_close_within(stream, LINGER, LINGER_BYTES).await;
+    lingering_close_within(stream, LINGER_TIMEOUT, LINGER_MAX_BYTES).await;
 }
 
-/// Closes after a last answer. What the client still sends is read for so long, and so many bytes of it: closing
-/// over unread bytes would reset the connection and could take the answer with it (RFC 9112, section 9.6).
-pub async fn lingering_close_within(mut stream: TcpStream, within: Duration, most: usize) {
-    let _ = timeout(within, async {
+/// Closes a connection after its last response. Data that the client still sends is read and discarded, for at most
+/// `max_duration` and `max_bytes`: closing with unread data would reset the connection, and the client could lose the
+/// response (RFC 9112, section 9.6).
+pub async fn lingering_close_within(mut stream: TcpStream, max_duration: Duration, max_bytes: usize) {
+    let _ = timeout(max_duration, async {
         stream.shutdown().await.ok()?;
-        let (mut buf, mut left) = ([0; 4096], most);
-        while left > 0 {
+        let (mut buf, mut remaining) = ([0; 4096], max_bytes);
+        while remaining > 0 {
             match stream.read(&mut buf).await {
                 Ok(0) | Err(_) => return None,
-                Ok(n) => left = left.saturating_sub(n),
+                Ok(n) => remaining = remaining.saturating_sub(n),
             }
         }
         Some(())
