--- a/crates/node/src/links/ends.rs
+++ b/crates/node/src/links/ends.rs
@@ -47,7 +47,7 @@
             LinkEndReason::Refused | LinkEndReason::ConnectTimeout => AttemptEnd::NotConnected,
             LinkEndReason::LocalError => AttemptEnd::NeverSent,
             // The first byte had not gone out and now never will: a used connection broke under the set-up's feet.
-            LinkEndReason::Disconnected | LinkEndReason::Corrupt if link.gate.recall() => {
+            LinkEndReason::Disconnected | LinkEndReason::Corrupt if link.gate.try_cancel() => {
                 AttemptEnd::NeverSent
             }
             LinkEndReason::Disconnected => AttemptEnd::Reset,
@@ -70,7 +70,7 @@
     pub(crate) fn recall(&mut self, attempt: AttemptId, why: RecallWhy) -> Ended {
         let id = self.out.get(&attempt).copied()?;
         let link = self.links.get(&id)?;
-        let (unsent, up) = (link.gate.recall(), link.up);
+        let (unsent, up) = (link.gate.try_cancel(), link.up);
         if !unsent && why == RecallWhy::Drained {
             return None;
         }
