--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -158,16 +158,18 @@
             && bytes[0] == FORMAT_VERSION
             && bytes[1..HEADER_BYTES] == checksum(&bytes[HEADER_BYTES..]);
         let mut newer = Vec::new();
-        for e in bytes.get(HEADER_BYTES..).filter(|_| valid).unwrap_or_default().chunks_exact(READING_BYTES) {
-            let digest = u16::from_le_bytes([e[0], e[1]]);
+        for entry in
+            bytes.get(HEADER_BYTES..).filter(|_| valid).unwrap_or_default().chunks_exact(READING_BYTES)
+        {
+            let digest = u16::from_le_bytes([entry[0], entry[1]]);
             let Some(Some(server)) = self.server_by_digest.get(&digest).copied() else { continue };
-            let age = Duration::from_millis((u128::from(e[4]) * AGE_UNIT_MS) as u64);
+            let age = Duration::from_millis((u128::from(entry[4]) * AGE_UNIT_MS) as u64);
             let taken = now.saturating_sub(age);
             if self.readings.get(&server).is_some_and(|r| taken <= r.taken + MIN_AGE_DIFFERENCE) {
                 continue;
             }
-            self.readings.insert(server, Reading { digest, link: e[2], rack: e[3], taken, sends: 0 });
-            let report = Report { link: decode_load(e[2]), rack: decode_load(e[3]) };
+            self.readings.insert(server, Reading { digest, link: entry[2], rack: entry[3], taken, sends: 0 });
+            let report = Report { link: decode_load(entry[2]), rack: decode_load(entry[3]) };
             newer.push(Heard { server, report, age, ..Heard::default() });
         }
         newer
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/lines.rs
@@ -10,18 +10,28 @@
 /// Type of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-#[allow(missing_docs)] // the variants are the platform's terms
 pub enum Verb {
+    /// Requests a set-up, with the session description and the fields `class`, `key`, `left` and `rung`.
     Start,
+    /// Reports that a set-up is in progress. Not evaluated here.
     Pending,
+    /// Reports that a session has been set up, with its description.
     Started,
+    /// Releases a session, abandons a set-up, or ends a set-up without a session; the cause tells which.
     Finish,
+    /// Acknowledges [`Verb::Finish`]. Not evaluated here.
     Finished,
+    /// Pings the other side.
     Echo,
+    /// Answers [`Verb::Echo`].
     Echoed,
+    /// Reports a load. Not evaluated here: loads are taken from the field `load` of other lines.
     Load,
+    /// Reports about a playing session, in the fields `note` and `value`.
     Notice,
+    /// Changes the rung of a session to the field `rung`.
     Rate,
+    /// Moves a session. Not evaluated here.
     Move,
 }
 
--- a/crates/platform/tests/zero_settings.rs
+++ b/crates/platform/tests/zero_settings.rs
@@ -138,8 +138,8 @@
                     Servers::Silent | Servers::None => _ = open.insert(s.attempt, s.sid),
                 },
                 Command::Recall { attempt, .. } => {
-                    let out = open.remove(&attempt);
-                    inputs.extend(out.map(|_| end(attempt, AttemptEnd::Unanswered)));
+                    let recalled = open.remove(&attempt);
+                    inputs.extend(recalled.map(|_| end(attempt, AttemptEnd::Unanswered)));
                 }
                 Command::Answer { viewer, .. } => {
                     assert!(answers.insert(viewer, now).is_none(), "{case}: two responses");
@@ -160,8 +160,8 @@
     }
     assert_eq!(answers.len(), site.settings.classes.len(), "{case}: responses are missing");
     // The waiting time less the margin; if that is nothing, the response is due at once.
-    let by = DAY + patience.saturating_sub(MARGIN);
-    assert!(answers.values().all(|at| *at <= by), "{case}: {answers:?} past {by:?}");
+    let latest = DAY + patience.saturating_sub(MARGIN);
+    assert!(answers.values().all(|at| *at <= latest), "{case}: {answers:?} after {latest:?}");
     assert!(open.is_empty(), "{case}: attempts that never ended");
 }
 
