--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -3,7 +3,7 @@
 use cloverhollow::Brain;
 use cloverhollow_front::{Front, Leave, StartError};
 use cloverhollow_record::Recorder;
-use cloverhollow_session::{Policy, Tap};
+use cloverhollow_session::{Policy, StepObserver};
 use cloverhollow_settings::{FrontSettings, SettingsError};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -42,7 +42,12 @@
     }
 }
 
-fn recorder(dir: &Path, settings: &FrontSettings, text: String, seed: u64) -> Result<Tap, ServeError> {
+fn recorder(
+    dir: &Path,
+    settings: &FrontSettings,
+    text: String,
+    seed: u64,
+) -> Result<StepObserver, ServeError> {
     let name = settings.instance.name.as_str();
     let begun = Recorder::begin(dir, name, text, seed);
     let mut recorder =
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -63,10 +63,10 @@
     };
     // Guards a front that is killed between the decision and the first byte: its next life knows (rules 2, 6).
     if !ticket.granted().await {
-        return ended(AttemptEnd::NotKept);
+        return ended(AttemptEnd::NotPersisted);
     }
     // Guards one that stood still in between: what it decided by is old.
-    if shared.clock.now() > setup.until {
+    if shared.clock.now() > setup.send_deadline {
         tracing::info!(session = %setup.sid, %attempt, server = setup.server, "decided too long ago, not sent");
         return ended(AttemptEnd::NeverSent);
     }
@@ -80,7 +80,7 @@
     let Ok(head) = lease.conn().head().await else { return ended(AttemptEnd::Reset) };
     let told = upstream::told(&head, setup.kbps);
     match head.status {
-        200..=299 => Some(Input::Playing { attempt, load: told.load, answer: SetupAnswer { head, lease } }),
+        200..=299 => Some(Input::Playing { attempt, load: told.load, response: SetupAnswer { head, lease } }),
         503 if told.unrun => Some(Input::AttemptEnded { attempt, end: AttemptEnd::Full, load: told.load }),
         status => Some(Input::AttemptEnded { attempt, end: AttemptEnd::Error { status }, load: told.load }),
     }
--- a/crates/front/src/desk.rs
+++ b/crates/front/src/desk.rs
@@ -12,8 +12,8 @@
 use crate::Shared;
 use cloverhollow::ListMode;
 use cloverhollow_session::{
-    enforce, Answer, AttemptEnd, AttemptId, Command, Core, Input, ListNews, Load, OverWhy, Policy, RecallWhy,
-    SavedList, ViewerId, BROKEN_EXIT,
+    invariants_hold, Answer, AttemptEnd, AttemptId, CancelReason, Command, Core, EndReason, Input,
+    ListUpdate, Load, Policy, SavedList, ViewerId, INVARIANT_EXIT_CODE,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -41,8 +41,8 @@
     }
 
     /// News of the server list.
-    pub(crate) fn list(news: ListNews) -> Self {
-        Mail::of(Input::List(news))
+    pub(crate) fn list(news: ListUpdate) -> Self {
+        Mail::of(Input::ListUpdate(news))
     }
 }
 
@@ -98,7 +98,8 @@
     pub(crate) async fn run(mut self) {
         let mut box_ = Vec::with_capacity(BATCH);
         loop {
-            let due = self.core.next_due().unwrap_or(self.shared.clock.now() + Duration::from_secs(3600));
+            let due =
+                self.core.next_deadline().unwrap_or(self.shared.clock.now() + Duration::from_secs(3600));
             tokio::select! {
                 n = self.mails.recv_many(&mut box_, BATCH) => if n == 0 { return },
                 () = tokio::time::sleep_until(self.shared.clock.instant(due)) => {}
@@ -138,28 +139,28 @@
             let counted = self.state.counted();
             if counted != self.counted {
                 self.counted = counted;
-                inputs.insert(0, Input::Counted { fronts: counted.flatten() });
+                inputs.insert(0, Input::FleetSize { fronts: counted.flatten() });
             }
             let lists = inputs.iter().filter_map(|i| match i {
-                Input::List(news) => Some(news.mode == ListMode::Whole),
+                Input::ListUpdate(news) => Some(news.mode == ListMode::Whole),
                 _ => None,
             });
             let (listed, told) = lists.fold((false, false), |(_, told), whole| (true, told | whole));
             let commands = self.core.step(self.shared.clock.now(), inputs);
-            if !enforce("session core", || self.core.check()) {
-                std::process::exit(BROKEN_EXIT);
+            if !invariants_hold("session core", || self.core.check()) {
+                std::process::exit(INVARIANT_EXIT_CODE);
             }
             if listed {
                 // Without a store nobody listens, and nothing is copied.
                 if !self.saver.is_closed() {
                     self.saver.send_replace(Some(self.core.saved_list()));
                 }
-                self.state.set_list(self.core.list());
+                self.state.set_list(self.core.server_list());
                 if told {
                     self.state.set_told();
                 }
             }
-            self.state.set_held(self.core.held());
+            self.state.set_held(self.core.session_count());
             let mut next = Vec::new();
             for command in commands {
                 next.extend(self.carry_out(command));
@@ -181,19 +182,20 @@
         match command {
             Command::Send(mut setup) => {
                 let attempt = setup.attempt;
-                let ticket = setup.deed.take().map_or(Ticket::Free, |deed| self.shared.journal.ask(deed));
+                let ticket =
+                    setup.log_record.take().map_or(Ticket::Free, |deed| self.shared.journal.ask(deed));
                 self.held.insert(attempt, attempt::spawn(setup, ticket, self.shared.clone()));
                 None
             }
-            Command::Keep(deed) => {
+            Command::Persist(deed) => {
                 self.shared.journal.tell(deed);
                 None
             }
-            Command::Recall { attempt, why } => {
+            Command::Cancel { attempt, reason: why } => {
                 let held = self.held.get(&attempt)?;
                 let end = match (held.recall(), why) {
                     (true, _) => AttemptEnd::NeverSent,
-                    (false, RecallWhy::Drained) => return None,
+                    (false, CancelReason::Drained) => return None,
                     (false, _) => AttemptEnd::Unanswered,
                 };
                 self.held.remove(&attempt);
@@ -203,11 +205,15 @@
                 let refused = self.replies.remove(&viewer)?.send(answer).err()?;
                 // Its viewer went in this instant: nobody takes what the server has begun.
                 let (Answer::Stream { route, .. } | Answer::Follow(route)) = refused else { return None };
-                Some(Input::Over { sid: route.sid.clone(), why: OverWhy::Quit, load: Load::default() })
+                Some(Input::SessionEnded {
+                    sid: route.sid.clone(),
+                    reason: EndReason::Quit,
+                    load: Load::default(),
+                })
             }
             // A viewer's later objects carry the rung, and its player ends by itself.
-            Command::Over { .. } | Command::Rung { .. } => None,
-            Command::Merged { peer, outcome } => {
+            Command::SessionEnded { .. } | Command::RungChanged { .. } => None,
+            Command::KnowledgeMerged { peer, outcome } => {
                 // Its reader is only ever behind by as many as it asks at once.
                 let _ = self.outcomes.try_send((peer, outcome));
                 None
--- a/crates/front/src/discovery.rs
+++ b/crates/front/src/discovery.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_net::{connect, EventLines};
-use cloverhollow_session::{Feed, ListNews};
+use cloverhollow_session::{Feed, ListUpdate};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -38,7 +38,7 @@
         let mut heard = false;
         let broken = stream(&shared, &mut heard).await;
         tracing::warn!(error = %broken, "server list stream broke");
-        if shared.desk.send(Mail::list(ListNews::broken())).await.is_err() {
+        if shared.desk.send(Mail::list(ListUpdate::broken())).await.is_err() {
             return;
         }
         wait = if heard { settings.again_ms.get() } else { (wait * 2).min(settings.again_most_ms.get()) };
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -31,7 +31,7 @@
 pub use out::Leave;
 
 use cloverhollow_recovery::Trust;
-use cloverhollow_session::{Core, Input, Policy, Routes, Shelf, Stats, Tap};
+use cloverhollow_session::{Core, Input, Policy, Routes, SnapshotCell, Stats, StepObserver};
 use cloverhollow_settings::FrontSettings;
 use desk::Desk;
 use pool::Pools;
@@ -53,7 +53,7 @@
     pub(crate) clock: Clock,
     pub(crate) routes: Arc<Routes>,
     pub(crate) stats: Arc<Stats>,
-    pub(crate) shelf: Arc<Shelf>,
+    pub(crate) shelf: Arc<SnapshotCell>,
     pub(crate) pools: Pools,
     pub(crate) journal: journal::Journal,
     pub(crate) desk: mpsc::Sender<desk::Mail>,
@@ -117,7 +117,7 @@
     pub async fn start<P: Policy + 'static>(
         settings: Arc<FrontSettings>,
         policy: P,
-        tap: Option<Tap>,
+        tap: Option<StepObserver>,
     ) -> Result<Front, StartError> {
         // First of all: a second process of this front must not so much as open the first one's store.
         let found = lives::open(&settings).await?;
@@ -133,7 +133,7 @@
 
         let mut core = Core::new(policy, settings.clone(), fastrand::u64(1..));
         if let Some(tap) = tap {
-            core.set_tap(tap);
+            core.set_step_observer(tap);
         }
         let clock = Clock::start();
         let fleet = members::Fleet::open(&settings, clock, side_address).await?;
@@ -142,7 +142,7 @@
             clock,
             routes: core.routes(),
             stats: core.stats(),
-            shelf: core.shelf(),
+            shelf: core.knowledge_snapshot(),
             pools: Pools::new(&settings.servers),
             journal: lives.journal,
             desk: mail,
@@ -163,7 +163,7 @@
             tracing::warn!(deaths, hold_ms, "died again and again: takes no viewers for a while");
         }
         let ahead = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
-        let _ = shared.desk.send(desk::Mail::of(Input::Clock(ahead))).await;
+        let _ = shared.desk.send(desk::Mail::of(Input::ClockOffset(ahead))).await;
         if proven != Trust::First {
             let _ = shared.desk.send(desk::Mail::of(Input::Recovered(Box::new(lives.recovered)))).await;
         }
@@ -171,7 +171,7 @@
             let _ = shared.desk.send(desk::Mail::list(news)).await;
         }
         if let Some(message) = loaded.knowledge {
-            let _ = shared.desk.send(desk::Mail::of(Input::Remembered(message))).await;
+            let _ = shared.desk.send(desk::Mail::of(Input::PersistedKnowledge(message))).await;
         }
         let saver = save::spawn(&tasks, &settings, loaded.keep, shared.shelf.clone(), clock, &stop);
         let desk = Desk::new(core, shared.clone(), mails, saver, outcome, state.clone());
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -16,7 +16,7 @@
     Key, Life, Member, MemberSettings, Notice, Outgoing, Sure, SwimSettings, Who, MOST_BODY, MOST_DATAGRAM,
 };
 use cloverhollow_net::{connect, unix_ms, Clock};
-use cloverhollow_session::{enforce, BROKEN_EXIT};
+use cloverhollow_session::{invariants_hold, INVARIANT_EXIT_CODE};
 use cloverhollow_settings::FrontSettings;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -105,8 +105,8 @@
     fn step<T>(&self, step: impl FnOnce(&mut Member) -> T) -> T {
         let mut member = self.member();
         let out = step(&mut member);
-        if !enforce("member", || member.check()) {
-            std::process::exit(BROKEN_EXIT);
+        if !invariants_hold("member", || member.check()) {
+            std::process::exit(INVARIANT_EXIT_CODE);
         }
         out
     }
--- a/crates/front/src/object.rs
+++ b/crates/front/src/object.rs
@@ -25,17 +25,17 @@
 
 /// Fetches a later object and relays it. One answer in any case.
 pub(crate) async fn serve(conn: &mut ViewerConn, ask: &Ask, route: &Route, shared: &Shared) -> Flow {
-    let fetching = route.fetch();
+    let fetching = route.begin_fetch();
     let flow = answer(conn, ask, route, shared).await;
     // Heard of before it may count as idle. If the viewer goes, this is dropped, and its idle time counts from before.
-    route.touch(shared.clock.now());
+    route.record_activity(shared.clock.now());
     drop(fetching);
     flow
 }
 
 async fn answer(conn: &mut ViewerConn, ask: &Ask, route: &Route, shared: &Shared) -> Flow {
     let begun = Instant::now();
-    route.touch(shared.clock.now());
+    route.record_activity(shared.clock.now());
     shared.stats.objects.fetch_add(1, Relaxed);
     match fetch(ask, route, shared).await {
         Ok((head, lease)) => {
@@ -46,10 +46,10 @@
             }
             let settings = &shared.settings.reports;
             let (every, short) = (settings.every_ms.get(), settings.short_every_ms.get());
-            if let Some(load) = route.gauge.due(shared.clock.now(), told.load, every, short) {
+            if let Some(load) = route.report_throttle.take_due(shared.clock.now(), told.load, every, short) {
                 let (request, server) = (route.request, route.server);
                 // A desk that is behind can do without one reading.
-                let _ = shared.desk.try_send(Mail::of(Input::Reading { request, server, load }));
+                let _ = shared.desk.try_send(Mail::of(Input::LoadReport { request, server, load }));
             }
             relay(conn, head, told, lease, Some(route), begun, shared).await
         }
@@ -62,7 +62,7 @@
 }
 
 async fn lose(route: &Route, shared: &Shared) {
-    let _ = shared.desk.send(Mail::of(Input::Lost { request: route.request })).await;
+    let _ = shared.desk.send(Mail::of(Input::SessionLost { request: route.request })).await;
 }
 
 /// The head of the object's answer, within `servers.object_ms` a try. A used connection that closes before
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -12,7 +12,7 @@
 use cloverhollow_knowledge::wire::{Message, FORMAT, MOST_BYTES};
 use cloverhollow_knowledge::{Ask, Level, MergeError, WarmSettings, Warmer};
 use cloverhollow_net::{connect, WireError};
-use cloverhollow_session::{Input, PeerSaid};
+use cloverhollow_session::{Input, PeerStatus};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering::Relaxed;
@@ -37,7 +37,7 @@
 pub(crate) const MOST_OUTCOMES: usize = 256;
 
 /// The desk's word on a merge.
-pub(crate) type Outcome = (SocketAddr, Result<PeerSaid, MergeError>);
+pub(crate) type Outcome = (SocketAddr, Result<PeerStatus, MergeError>);
 
 /// How a question ended.
 enum Got {
@@ -113,7 +113,7 @@
     }
 
     fn ask(&mut self, ask: Ask, after: Option<u64>) {
-        self.shared.stats.peer_questions.fetch_add(1, Relaxed);
+        self.shared.stats.peer_requests.fetch_add(1, Relaxed);
         let (shared, me) = (self.shared.clone(), self.me);
         self.questions.spawn(async move {
             let within = shared.settings.peers.deadline_ms.get();
@@ -137,7 +137,7 @@
     async fn got(&mut self, peer: SocketAddr, got: Got) {
         match got {
             Got::Message { asked_at, nonce, message } => {
-                let told = Input::Told { peer, asked_at, nonce, message };
+                let told = Input::PeerMessage { peer, requested_at: asked_at, nonce, message };
                 let _ = self.shared.desk.send(Mail::of(told)).await;
             }
             Got::Busy(after) => self.warmer.busy(self.shared.clock.now(), peer, after),
@@ -149,7 +149,7 @@
         }
     }
 
-    fn merged(&mut self, peer: SocketAddr, outcome: Result<PeerSaid, MergeError>) {
+    fn merged(&mut self, peer: SocketAddr, outcome: Result<PeerStatus, MergeError>) {
         match outcome {
             Ok(said) => {
                 self.heard.insert(peer, said.seq);
--- a/crates/front/src/release.rs
+++ b/crates/front/src/release.rs
@@ -8,7 +8,7 @@
 use cloverhollow::ServerId;
 use cloverhollow_hints::cmcd::{EventKind, PlayState, Record, REPORT_TYPE};
 use cloverhollow_http::{RequestHead, Target};
-use cloverhollow_session::Sid;
+use cloverhollow_session::SessionId;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 
 pub(crate) struct Releases {
     shared: Arc<Shared>,
-    servers: HashMap<ServerId, (SocketAddr, mpsc::Sender<Sid>)>,
+    servers: HashMap<ServerId, (SocketAddr, mpsc::Sender<SessionId>)>,
 }
 
 impl Releases {
@@ -31,7 +31,7 @@
     }
 
     /// Queues it. Never waits.
-    pub(crate) fn tell(&mut self, server: ServerId, address: SocketAddr, sid: Sid) {
+    pub(crate) fn tell(&mut self, server: ServerId, address: SocketAddr, sid: SessionId) {
         let known = self.servers.get(&server).filter(|(a, tx)| *a == address && !tx.is_closed());
         let queue = match known {
             Some((_, tx)) => tx.clone(),
@@ -48,10 +48,15 @@
     }
 }
 
-async fn run(server: ServerId, address: SocketAddr, mut queue: mpsc::Receiver<Sid>, shared: Arc<Shared>) {
+async fn run(
+    server: ServerId,
+    address: SocketAddr,
+    mut queue: mpsc::Receiver<SessionId>,
+    shared: Arc<Shared>,
+) {
     let mut batch = Vec::new();
     while queue.recv_many(&mut batch, BATCH).await > 0 {
-        let line = |sid: &Sid| {
+        let line = |sid: &SessionId| {
             let record = Record {
                 sid: Some((**sid).into()),
                 sta: Some(PlayState::Quit),
--- a/crates/front/src/save.rs
+++ b/crates/front/src/save.rs
@@ -7,7 +7,7 @@
 
 use cloverhollow_knowledge::wire::Message;
 use cloverhollow_knowledge::Level;
-use cloverhollow_session::{ListNews, SavedList, Shelf};
+use cloverhollow_session::{ListUpdate, SavedList, SnapshotCell};
 use cloverhollow_settings::FrontSettings;
 use cloverhollow_store::{Keep, Kept};
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     pub(crate) keep: Option<Keep>,
     /// The store was there already: this front ran before.
     pub(crate) was_there: bool,
-    pub(crate) list: Option<ListNews>,
+    pub(crate) list: Option<ListUpdate>,
     pub(crate) knowledge: Option<Box<Message>>,
 }
 
@@ -52,7 +52,7 @@
         let kept = opened.kept.unwrap_or_default();
         let list = std::str::from_utf8(&kept.list).ok().filter(|t| !t.is_empty());
         let list = list.and_then(|text| match SavedList::read(text) {
-            Ok(saved) => Some(saved.news(cold)),
+            Ok(saved) => Some(saved.into_update(cold)),
             Err(error) => {
                 tracing::warn!(file, error, "the last list is not used");
                 None
@@ -69,7 +69,7 @@
     tasks: &TaskTracker,
     settings: &FrontSettings,
     keep: Option<Keep>,
-    shelf: Arc<Shelf>,
+    shelf: Arc<SnapshotCell>,
     clock: Clock,
     stop: &CancellationToken,
 ) -> watch::Sender<Option<SavedList>> {
@@ -87,7 +87,7 @@
             };
             let new_list = rx.has_changed().unwrap_or(false);
             let list = rx.borrow_and_update().clone();
-            let view = shelf.view();
+            let view = shelf.latest();
             if let Some(list) = list.filter(|_| new_list || view.seq() != seq) {
                 seq = view.seq();
                 let message = view.message(clock.now(), 0, None, Level::Cold, Vec::new());
--- a/crates/front/src/side.rs
+++ b/crates/front/src/side.rs
@@ -66,7 +66,7 @@
 
     pub(crate) fn set_list(&self, list: &ServerList) {
         self.version.store(list.version(), Relaxed);
-        self.serving.store(list.serving() as u64, Relaxed);
+        self.serving.store(list.serving_count() as u64, Relaxed);
     }
 
     pub(crate) fn set_held(&self, held: usize) {
@@ -214,7 +214,7 @@
         "deaths": deaths,
         "level": level.word(),
         "level_why": level_why.words(),
-        "knows_servers": shared.shelf.view().servers(),
+        "knows_servers": shared.shelf.latest().servers(),
         "list_version": state.version.load(Relaxed),
         "servers_serving": serving,
         "sessions": state.held.load(Relaxed),
@@ -224,7 +224,7 @@
 }
 
 fn metrics(shared: &Shared, state: &State) -> String {
-    let mut text = shared.stats.text();
+    let mut text = shared.stats.to_prometheus();
     for (name, n) in
         [("sessions", &state.held), ("servers_serving", &state.serving), ("list_version", &state.version)]
     {
--- a/crates/front/src/side/feed.rs
+++ b/crates/front/src/side/feed.rs
@@ -43,7 +43,7 @@
         return say(conn, head, Bytes::new()).await;
     }
     let _feeding = Feeding(state);
-    shared.stats.peer_fed.fetch_add(1, Relaxed);
+    shared.stats.peer_responses.fetch_add(1, Relaxed);
     let now = shared.clock.now();
     let text = |name: &str| request.headers.text(name);
     let tag = text("if-range").and_then(|t| t.trim_matches('"').parse().ok());
@@ -58,16 +58,16 @@
             let peers = lock(&state.peers).iter().copied().take(MOST_PEERS).collect();
             let level = lock(&state.level).0;
             let begun = std::time::Instant::now();
-            let message = shared.shelf.view().message(now, nonce, number(AFTER), level, peers);
+            let message = shared.shelf.latest().message(now, nonce, number(AFTER), level, peers);
             let Ok(bytes) = message.encode() else {
                 return say(conn, ResponseHead::new(500, 0), Bytes::new()).await;
             };
-            shared.stats.peer_fed_us.fetch_add(begun.elapsed().as_micros() as u64, Relaxed);
+            shared.stats.peer_response_us.fetch_add(begun.elapsed().as_micros() as u64, Relaxed);
             (200, lock(&state.feeds).keep(now, bytes), 0)
         }
     };
     let rest = Bytes::copy_from_slice(&kept.bytes[from..]);
-    shared.stats.peer_fed_bytes.fetch_add(rest.len() as u64, Relaxed);
+    shared.stats.peer_response_bytes.fetch_add(rest.len() as u64, Relaxed);
     let mut head = ResponseHead::new(status, rest.len());
     head.headers.push("content-type", "application/vnd.cloverhollow.knowledge");
     head.headers.push("etag", format!("\"{}\"", kept.tag));
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -62,7 +62,7 @@
 
 /// The request of a set-up.
 pub(crate) fn setup_head(setup: &Setup<std::sync::Arc<Ask>>, shared: &Shared) -> RequestHead {
-    head(&setup.ask, setup.address, &setup.sid, setup.kbps, Some(setup.attempt.number), shared)
+    head(&setup.payload, setup.address, &setup.sid, setup.kbps, Some(setup.attempt.number), shared)
 }
 
 /// The request of a later object.
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -13,7 +13,7 @@
 use cloverhollow_hints::{reconcile, Faults, Group};
 use cloverhollow_http::{percent_decode, Limits, Method, RequestFrame, RequestHead, ResponseHead};
 use cloverhollow_net::{answer, linger, read_body, wait_closed, ServerConn, ServerSide, WireError};
-use cloverhollow_session::arrival::{self, Hints, NoSession};
+use cloverhollow_session::arrival::{self, ArrivalError, Hints};
 use cloverhollow_session::{Answer, Input};
 use futures_util::StreamExt;
 use std::sync::Arc;
@@ -180,20 +180,20 @@
     for record in cmcd::read_reports(&body, &mut faults) {
         let Some(sid) = record.sid.as_deref() else { continue };
         if let Some(route) = shared.routes.get(sid) {
-            route.touch(shared.clock.now());
+            route.record_activity(shared.clock.now());
         }
-        if let Some(why) = arrival::over(&record) {
+        if let Some(why) = arrival::end_reason(&record) {
             let _ = shared
                 .desk
-                .send(Mail::of(Input::Over {
+                .send(Mail::of(Input::SessionEnded {
                     sid: sid.into(),
-                    why,
+                    reason: why,
                     load: cloverhollow_session::Load::default(),
                 }))
                 .await;
         }
     }
-    shared.stats.hints(&faults, cloverhollow_hints::Contradictions::default());
+    shared.stats.record_hints(&faults, cloverhollow_hints::Contradictions::default());
     conn.plain(204).await
 }
 
@@ -227,7 +227,7 @@
         let name = shared.settings.instance.name.as_str();
         hints.record.sid = Some(format!("~{name}-{port}").into());
     }
-    let over = arrival::over(&hints.record);
+    let over = arrival::end_reason(&hints.record);
     let sid = hints.record.sid.clone().unwrap_or_default();
     if let Some(route) = shared.routes.get(&sid) {
         let ask = Ask { target: head.target, hints: hints.record };
@@ -235,9 +235,9 @@
         if let Some(why) = over {
             let _ = shared
                 .desk
-                .send(Mail::of(Input::Over {
+                .send(Mail::of(Input::SessionEnded {
                     sid: route.sid.clone(),
-                    why,
+                    reason: why,
                     load: cloverhollow_session::Load::default(),
                 }))
                 .await;
@@ -249,7 +249,7 @@
     let read = arrival::read(&shared.settings, viewer, head.target.path(), &hints, ask.clone());
     let arrival = match read {
         Ok(arrival) => arrival,
-        Err(NoSession::Path | NoSession::Class | NoSession::Sid) => return conn.plain(404).await,
+        Err(ArrivalError::Path | ArrivalError::Class | ArrivalError::Sid) => return conn.plain(404).await,
     };
     let (reply, mut replied) = oneshot::channel();
     let sid = arrival.sid.clone();
@@ -259,19 +259,19 @@
     let answer = tokio::select! {
         answer = &mut replied => answer,
         () = wait_closed(&conn.framed) => {
-            let _ = shared.desk.send(Mail::of(Input::HungUp { viewer, sid })).await;
+            let _ = shared.desk.send(Mail::of(Input::Disconnected { viewer, sid })).await;
             return Flow::Close;
         }
     };
     match answer {
-        Ok(Answer::Stream { route, answer }) => {
+        Ok(Answer::Stream { route, response: answer }) => {
             let Told { path, .. } = upstream::told(&answer.head, route.kbps());
             let told = Told { path, ..Told::default() };
             object::relay(conn, answer.head, told, answer.lease, Some(&route), begun, shared).await
         }
         Ok(Answer::Follow(route)) => object::serve(conn, &ask, &route, shared).await,
-        Ok(Answer::Refused { after, reason }) => conn.refuse(after, reason.token(), shared).await,
-        Ok(Answer::Failed { late, reason }) => {
+        Ok(Answer::Refused { retry_after, reason }) => conn.refuse(retry_after, reason.token(), shared).await,
+        Ok(Answer::Failed { timed_out: late, reason }) => {
             conn.fail(if late { 504 } else { 502 }, reason.token(), shared).await
         }
         // The desk is gone: this front is stopping.
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -170,7 +170,7 @@
                 id: i as u64 + 1,
                 key: None,
                 address: *address,
-                hall: String::new(),
+                zone: String::new(),
                 kind: String::new(),
                 cell: 0,
                 weight: 1.0,
--- a/crates/lab/src/policies/broken.rs
+++ b/crates/lab/src/policies/broken.rs
@@ -88,7 +88,7 @@
         actions.into_iter().filter_map(|a| self.spoil(a)).collect()
     }
 
-    fn send_within(&self, server: ServerId) -> Option<Duration> {
+    fn max_send_delay(&self, server: ServerId) -> Option<Duration> {
         self.brain.send_within(server)
     }
 }
--- a/crates/lab/src/rules/terms.rs
+++ b/crates/lab/src/rules/terms.rs
@@ -13,7 +13,7 @@
 use super::{Check, Late, Verdict};
 use crate::exchange::{Exchange, Got, Seen};
 use crate::script::Script;
-use cloverhollow_session::arrival::rates;
+use cloverhollow_session::arrival::rates_kbps;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 pub(super) fn check(all: &[Exchange], script: &Script) -> Verdict {
     let mut check = Check::new(5, "floors, tops and seats kept");
     let classes = &script.front.classes.0;
-    let ladders: Vec<_> = (0..classes.len()).map(|c| rates(&script.front, c)).collect();
+    let ladders: Vec<_> = (0..classes.len()).map(|c| rates_kbps(&script.front, c)).collect();
     let mut callers: BTreeMap<&Arc<str>, (usize, usize)> = BTreeMap::new();
     let mut seats: BTreeMap<(usize, usize, &str), Vec<Seat>> = BTreeMap::new();
     let played: BTreeSet<&Arc<str>> = all.iter().filter_map(|e| played(&e.seen)).collect();
--- a/crates/lab/src/standin/platform.rs
+++ b/crates/lab/src/standin/platform.rs
@@ -36,7 +36,7 @@
         WireState::Draining => "terminating",
         WireState::Gone => "terminated",
     };
-    json!({"name": server_name(e.id), "address": format!("{host}:{}", e.address.port()), "zone": e.hall, "type": e.kind,
+    json!({"name": server_name(e.id), "address": format!("{host}:{}", e.address.port()), "zone": e.zone, "type": e.kind,
         "group": e.cell, "status": status, "weight": e.weight, "since_ms": started.unwrap_or(0)})
 }
 
--- a/crates/lab/src/standin/server.rs
+++ b/crates/lab/src/standin/server.rs
@@ -11,7 +11,7 @@
 use cloverhollow_hints::{Faults as HintFaults, Group};
 use cloverhollow_http::{Limits, Method, RequestFrame, RequestHead, ResponseHead};
 use cloverhollow_net::{answer, read_body, wait_closed, ServerConn, ServerSide};
-use cloverhollow_session::arrival::{over, rates};
+use cloverhollow_session::arrival::{end_reason, rates_kbps};
 use cloverhollow_settings::FrontSettings;
 use futures_util::StreamExt;
 use std::collections::HashMap;
@@ -81,7 +81,7 @@
 
     /// A class's rate at a rung, kbps.
     pub(super) fn kbps(&self, class: usize, rung: usize) -> u32 {
-        rates(&self.site, class).get(rung).copied().unwrap_or(0)
+        rates_kbps(&self.site, class).get(rung).copied().unwrap_or(0)
     }
 
     /// What a title's sessions truly ask at that rate.
@@ -266,7 +266,7 @@
     async fn reports(&self, conn: &mut ServerConn, body: &[u8]) -> Option<()> {
         let text = std::str::from_utf8(body).ok()?;
         for record in read_reports(text, &mut HintFaults::default()) {
-            if let (Some(_), Some(sid)) = (over(&record), record.sid) {
+            if let (Some(_), Some(sid)) = (end_reason(&record), record.sid) {
                 let sid: Arc<str> = sid.into();
                 let held = self.world.fleet().servers.get_mut(&self.id).is_some_and(|s| s.end(&sid));
                 if held {
--- a/crates/lab/src/troubles.rs
+++ b/crates/lab/src/troubles.rs
@@ -313,7 +313,7 @@
         id: s.facts.id,
         key: None,
         address: handle.address(),
-        hall: s.facts.hall.clone(),
+        zone: s.facts.hall.clone(),
         kind: s.facts.kind.clone(),
         cell: s.facts.cell,
         weight: s.facts.weight,
--- a/crates/lab/src/viewer_http.rs
+++ b/crates/lab/src/viewer_http.rs
@@ -11,7 +11,7 @@
 use cloverhollow_hints::{Faults, Group};
 use cloverhollow_http::{percent_encode, RequestHead, ResponseHead, Target};
 use cloverhollow_net::{connect, ClientConn, WireError};
-use cloverhollow_session::arrival::rates;
+use cloverhollow_session::arrival::rates_kbps;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,7 +56,7 @@
     }
 
     fn request(&self, v: &Viewer, sid: &str, object: usize, rung: usize) -> RequestHead {
-        let ladder = rates(&self.script.front, v.class);
+        let ladder = rates_kbps(&self.script.front, v.class);
         let duration = Millis(self.script.viewers.object_ms.get().as_millis() as u32);
         let mut r = Record {
             sid: Some(sid.into()),
--- a/crates/node/src/desk/commands.rs
+++ b/crates/node/src/desk/commands.rs
@@ -6,7 +6,7 @@
     pub(super) fn carry_out(&mut self, command: Command<Ask, String>) {
         match command {
             Command::Send(setup) => self.send(setup),
-            Command::Recall { attempt, why } => self.recall(attempt, why),
+            Command::Cancel { attempt, reason: why } => self.recall(attempt, why),
             Command::Answer { viewer, answer } => {
                 let now = self.clock.now();
                 let stands = match &answer {
@@ -19,14 +19,14 @@
                 let Some((conn, sid)) = self.standing.answered(viewer, stands) else {
                     // Its viewer went in this instant: nobody takes what the server has begun.
                     if let Answer::Stream { route, .. } = answer {
-                        self.inputs.push(over(route.sid.clone(), OverWhy::Quit, Load::default()));
+                        self.inputs.push(over(route.sid.clone(), EndReason::Quit, Load::default()));
                     }
                     return;
                 };
                 if let Some((server, _)) = stands {
                     self.links.stands(server);
                 }
-                tracing::info!(session = %sid, conn = conn.0, answer = answer.word(), "answered");
+                tracing::info!(session = %sid, conn = conn.0, answer = answer.token(), "answered");
                 let text = viewer::answer(&sid, &answer, |description| description.clone().into());
                 self.write(conn, text);
                 match answer {
@@ -36,7 +36,7 @@
                     }
                     // It came under the id of one whose viewer went as it began to play: nobody follows here.
                     Answer::Follow(route) => {
-                        self.inputs.push(over(route.sid.clone(), OverWhy::Quit, Load::default()));
+                        self.inputs.push(over(route.sid.clone(), EndReason::Quit, Load::default()));
                     }
                     Answer::Refused { .. } | Answer::Failed { .. } => {}
                 }
@@ -46,13 +46,13 @@
                     self.links.tell(server, Line::finish(&sid, cause::CANCELLED));
                 }
             }
-            Command::Over { sid, server, .. } => self.over(&sid, server),
-            Command::Rung { server, sid, rung } => {
+            Command::SessionEnded { sid, server, .. } => self.over(&sid, server),
+            Command::RungChanged { server, sid, rung } => {
                 let line = Line::new(Verb::Rate, &sid).with("rung", rung);
                 self.links.tell(server, line);
             }
             // No disk survives this process, and it asks no peers.
-            Command::Keep(_) | Command::Merged { .. } => {}
+            Command::Persist(_) | Command::KnowledgeMerged { .. } => {}
         }
     }
 }
--- a/crates/node/src/desk/lines.rs
+++ b/crates/node/src/desk/lines.rs
@@ -63,7 +63,7 @@
             return Ok(());
         };
         let attempt = self.links.done(id).ok_or(DropReason::AttemptEnded)?;
-        self.inputs.push(Input::Playing { attempt, load: Load::default(), answer });
+        self.inputs.push(Input::Playing { attempt, load: Load::default(), response: answer });
         Ok(())
     }
 
@@ -111,11 +111,11 @@
     }
 
     /// A session that stands is over by its server's word.
-    fn end_session(&mut self, sid: Sid, server: ServerId, cause: i64, load: Load) {
+    fn end_session(&mut self, sid: SessionId, server: ServerId, cause: i64, load: Load) {
         let why = match cause {
-            cause::DONE => OverWhy::Ended,
-            cause::CANCELLED => OverWhy::Quit,
-            _ => OverWhy::Lost,
+            cause::DONE => EndReason::Ended,
+            cause::CANCELLED => EndReason::Quit,
+            _ => EndReason::Lost,
         };
         self.standing.released(server, &sid, cause);
         self.inputs.push(over(sid, why, load));
@@ -140,7 +140,7 @@
     }
 
     /// A session has come to stand: if its server has released it already, it is over.
-    pub(super) fn ended_early(&mut self, sid: &Sid, server: ServerId, process: SocketAddr) {
+    pub(super) fn ended_early(&mut self, sid: &SessionId, server: ServerId, process: SocketAddr) {
         if let Some(cause) = self.early.take(self.clock.now(), sid, process) {
             self.end_session(sid.clone(), server, cause, Load::default());
         }
@@ -154,7 +154,7 @@
         if let Some(gossip) = &mut self.gossip {
             gossip.read(at, heard.server, note);
         }
-        self.inputs.push(Input::Note { sid: line.tag.as_str().into(), note });
+        self.inputs.push(Input::SessionReport { sid: line.tag.as_str().into(), report: note });
         Ok(())
     }
 
@@ -162,7 +162,7 @@
     /// connections, also on those that were opened to it under another number.
     fn stands_with(&self, heard: &Heard, sid: &str) -> Option<ServerId> {
         let server = self.standing.server_of(sid)?;
-        let same = server == heard.server || self.core.list().address(server) == Some(heard.address);
+        let same = server == heard.server || self.core.server_list().address(server) == Some(heard.address);
         same.then_some(server)
     }
 
--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/desk/mod.rs
@@ -33,8 +33,8 @@
 use cloverhollow_platform::viewer::{self, Ask, Wish};
 use cloverhollow_platform::watch::{Down, LinkId, Watch};
 use cloverhollow_session::{
-    enforce, Answer, AttemptEnd, AttemptId, Command, Core, Input, ListNews, Load, OverWhy, RecallWhy, Setup,
-    Sid, ViewerId, WireState, BROKEN_EXIT,
+    invariants_hold, Answer, AttemptEnd, AttemptId, CancelReason, Command, Core, EndReason, Input,
+    ListUpdate, Load, SessionId, Setup, ViewerId, WireState, INVARIANT_EXIT_CODE,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -141,7 +141,7 @@
         loop {
             let now = self.clock.now();
             let look = self.looked + LOOK;
-            let due = self.core.next_due().map_or(look, |d| d.min(look));
+            let due = self.core.next_deadline().map_or(look, |d| d.min(look));
             tokio::select! {
                 n = mails.recv_many(&mut batch, BATCH) => if n == 0 { return },
                 Some(conn) = self.rung.recv() => self.take_from(conn),
@@ -187,7 +187,7 @@
     fn take_inputs(&mut self) -> bool {
         self.hear();
         let inputs = std::mem::take(&mut self.inputs);
-        let commands = self.core.take_in(self.clock.now(), inputs);
+        let commands = self.core.process_inputs(self.clock.now(), inputs);
         let stream =
             |c: &Command<Ask, String>| matches!(c, Command::Answer { answer: Answer::Stream { .. }, .. });
         let wrote = commands.iter().any(stream);
@@ -199,8 +199,8 @@
     fn decide(&mut self) {
         loop {
             let commands = self.core.decide();
-            if !enforce("session core", || self.core.check()) {
-                std::process::exit(BROKEN_EXIT);
+            if !invariants_hold("session core", || self.core.check()) {
+                std::process::exit(INVARIANT_EXIT_CODE);
             }
             commands.into_iter().for_each(|command| self.carry_out(command));
             if self.inputs.is_empty() {
@@ -230,8 +230,8 @@
     }
 }
 
-fn over(sid: Sid, why: OverWhy, load: Load) -> In {
-    Input::Over { sid, why, load }
+fn over(sid: SessionId, why: EndReason, load: Load) -> In {
+    Input::SessionEnded { sid, reason: why, load }
 }
 
 #[cfg(test)]
--- a/crates/node/src/desk/news.rs
+++ b/crates/node/src/desk/news.rs
@@ -18,23 +18,23 @@
         self.from.send_modify(|f| f.cursor = cursor);
     }
 
-    pub(super) fn news(&mut self, news: ListNews) {
+    pub(super) fn news(&mut self, news: ListUpdate) {
         let now = self.clock.now();
         for e in &news.entries {
             // Another process at the same name or at the same address: what stood at the one before is cut. Not at
             // each word of the same one: what waits for a connection to it would be dropped.
-            if let Some(ago) = e.started_ms_ago.filter(|_| self.core.list().is_restart(e)) {
+            if let Some(ago) = e.started_ms_ago.filter(|_| self.core.server_list().is_restart(e)) {
                 self.replaced(e.id, now.saturating_sub(Duration::from_millis(ago)));
             }
             if e.state == WireState::Serving {
-                let before = self.core.list().others_at(e.address, e.id);
+                let before = self.core.server_list().others_at_address(e.address, e.id);
                 before.into_iter().for_each(|server| self.replaced(server, Duration::MAX));
             }
         }
         if let Some(gossip) = &mut self.gossip {
             gossip.gossip.listed(self.directory.keys());
         }
-        self.inputs.push(Input::List(news));
+        self.inputs.push(Input::ListUpdate(news));
     }
 
     /// What the core is told before anything else.
@@ -46,7 +46,7 @@
     pub(super) fn gossiped(&mut self, bytes: &[u8]) {
         let now = self.clock.now();
         let heard = self.gossip.as_mut().map(|w| w.gossip.heard(now, bytes)).unwrap_or_default();
-        self.inputs.extend(heard.into_iter().map(Input::Heard));
+        self.inputs.extend(heard.into_iter().map(Input::PeerReport));
     }
 
     pub(super) fn configured(&mut self, config: &Config) {
--- a/crates/node/src/desk/servers.rs
+++ b/crates/node/src/desk/servers.rs
@@ -4,7 +4,18 @@
 
 impl Desk {
     pub(super) fn send(&mut self, setup: Setup<Ask>) {
-        let Setup { attempt, server, address, sid, rung, paid, within, until, ask, .. } = setup;
+        let Setup {
+            attempt,
+            server,
+            address,
+            sid,
+            rung,
+            paid,
+            timeout: within,
+            send_deadline: until,
+            payload: ask,
+            ..
+        } = setup;
         let line = Line { blob: Some(ask.blob), ..Line::new(Verb::Start, &sid) }
             .with("class", ask.class)
             .with("key", ask.key)
@@ -26,14 +37,14 @@
         self.ended(ended, Load::default());
     }
 
-    pub(super) fn recall(&mut self, attempt: AttemptId, why: RecallWhy) {
+    pub(super) fn recall(&mut self, attempt: AttemptId, why: CancelReason) {
         let ended = self.links.recall(attempt, why);
         self.ended(ended, Load::default());
     }
 
     /// A session that played in the core is over: its viewer is told, where it is owed that. Guards one that began to
     /// play in the instant in which its viewer went: it stands nowhere here, and its server would hold it for nobody.
-    pub(super) fn over(&mut self, sid: &Sid, server: ServerId) {
+    pub(super) fn over(&mut self, sid: &SessionId, server: ServerId) {
         if !self.standing.stands_at(server, sid) {
             self.links.tell(server, Line::finish(sid, cause::CANCELLED));
         } else if let Some(release) = self.standing.over(sid) {
@@ -50,7 +61,7 @@
         let (standing, core) = (&self.standing, &self.core);
         // Shortly before the kill what a server would say on a new connection is left to the next process.
         let wanted = |server| !self.closed_before_kill && standing.any_at(server);
-        let cut = self.links.look(wanted, |server| core.list().address(server));
+        let cut = self.links.look(wanted, |server| core.server_list().address(server));
         cut.into_iter().for_each(|server| _ = self.cut(server, Duration::MAX));
         if self.directory.remembers_any() {
             let (standing, links) = (&self.standing, &self.links);
@@ -65,7 +76,7 @@
     }
 
     /// The sessions that stood at a server before that time are cut: which.
-    pub(super) fn cut(&mut self, server: ServerId, before: Duration) -> Vec<Sid> {
+    pub(super) fn cut(&mut self, server: ServerId, before: Duration) -> Vec<SessionId> {
         let cut = self.standing.at(server, before);
         self.links.cut(server);
         if !cut.is_empty() {
@@ -74,7 +85,7 @@
         for sid in &cut {
             tracing::info!(session = %sid, server, "cut at its server");
             self.standing.released(server, sid, cause::RESET);
-            self.inputs.push(over(sid.clone(), OverWhy::Lost, Load::default()));
+            self.inputs.push(over(sid.clone(), EndReason::Lost, Load::default()));
         }
         cut
     }
--- a/crates/node/src/desk/tests.rs
+++ b/crates/node/src/desk/tests.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use cloverhollow_platform::config;
 use cloverhollow_platform::rtsp;
-use cloverhollow_session::{ClassTerms, Terms};
+use cloverhollow_session::{ClassConfig, CoreConfig};
 use std::io::Write;
 use std::time::Instant;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -49,17 +49,17 @@
         );
         let config = config::read(&text).unwrap();
         let site = config.site;
-        let terms = Terms {
-            classes: vec![ClassTerms { paid: false, deadline: site.deadlines[0] }],
-            rates: vec![Arc::from([])],
-            kinds: site.names.kinds.clone(),
-            hall: site.names.zone.clone(),
-            hold_off: site.settings.limits.hold_off,
-            margin: Duration::ZERO,
-            most: 1_000,
-            waiting: 1,
-            idle: None,
-            memory: None,
+        let terms = CoreConfig {
+            classes: vec![ClassConfig { paid: false, deadline: site.deadlines[0] }],
+            rates_kbps: vec![Arc::from([])],
+            server_kinds: site.names.kinds.clone(),
+            zone: site.names.zone.clone(),
+            retry_after: site.settings.limits.hold_off,
+            answer_margin: Duration::ZERO,
+            max_sessions: 1_000,
+            max_waiting: 1,
+            idle_timeout: None,
+            persistence: None,
         };
         let core = Core::new(Brain::new(site.settings.clone(), 1), terms, 1);
         let watch = Watch::new(Duration::ZERO, site.idle_close, 8);
@@ -139,10 +139,10 @@
     let open = rig.open(1).await;
     open.viewer.put(setup(1));
     rig.desk.step();
-    assert_eq!((rig.desk.standing.open(), rig.desk.core.held()), (1, 1), "an attempt is on its way");
+    assert_eq!((rig.desk.standing.open(), rig.desk.core.session_count()), (1, 1), "an attempt is on its way");
     let _open = open.leave();
     rig.until(|mail| matches!(mail, Mail::Unsent(..))).await;
-    assert_eq!((rig.desk.standing.open(), rig.desk.core.held()), (0, 0), "nobody waits for it");
+    assert_eq!((rig.desk.standing.open(), rig.desk.core.session_count()), (0, 0), "nobody waits for it");
     for server in &rig.servers {
         // The connection that was made stays; a second one was not begun.
         let second = async {
@@ -177,7 +177,7 @@
     let answer = r#"{"verb":"STARTED","tag":"0000000000000001","opts":{},"blob":"v=0"}"#;
     server.write_all(format!("{answer}\n").as_bytes()).await.unwrap();
     rig.until(|mail| matches!(mail, Mail::Line(..))).await;
-    assert_eq!((rig.desk.standing.open(), rig.desk.core.held()), (0, 0), "nobody has it");
+    assert_eq!((rig.desk.standing.open(), rig.desk.core.session_count()), (0, 0), "nobody has it");
     line.clear();
     tokio::time::timeout(LONG, server.read_line(&mut line)).await.expect("it is told").unwrap();
     assert!(line.contains("FINISH"), "{line}");
--- a/crates/node/src/desk/viewers.rs
+++ b/crates/node/src/desk/viewers.rs
@@ -80,7 +80,7 @@
     }
 
     /// Who waits for that set-up, for its gate.
-    pub(super) fn waits(&self, sid: &Sid) -> Option<Waits> {
+    pub(super) fn waits(&self, sid: &SessionId) -> Option<Waits> {
         let hold = self.conns.get(&self.standing.asked_on(sid)?)?;
         Some(Waits { viewer: hold.viewer.clone(), sid: sid.clone() })
     }
@@ -95,7 +95,7 @@
 
     /// Looks whether the viewer of a set-up has closed its connection unheard of, its close hidden behind what was not
     /// read yet.
-    pub(super) fn look_for(&mut self, sid: &Sid) {
+    pub(super) fn look_for(&mut self, sid: &SessionId) {
         let Some(conn) = self.standing.asked_on(sid) else { return };
         if self.conns.get(&conn).is_some_and(|hold| hold.viewer.has_closed()) {
             self.close_now(conn, ViewerEnd::Closed);
@@ -108,7 +108,7 @@
             tracing::info!(conn = conn.0, ?end, "a viewer's connection ended");
         }
         for (viewer, sid) in self.standing.closed(conn) {
-            self.inputs.push(Input::HungUp { viewer, sid });
+            self.inputs.push(Input::Disconnected { viewer, sid });
         }
         self.tell_again(conn, end);
     }
@@ -128,7 +128,7 @@
     pub(super) fn close_conn(&mut self, conn: ConnId) {
         for (viewer, sid) in self.standing.closing(conn) {
             self.write(conn, viewer::failure(&sid));
-            self.inputs.push(Input::HungUp { viewer, sid });
+            self.inputs.push(Input::Disconnected { viewer, sid });
         }
         if self.conns.get(&conn).is_some_and(|hold| !hold.close()) {
             self.close_now(conn, ViewerEnd::Unusable);
@@ -150,8 +150,8 @@
             Ok(Wish::Teardown { sid, cseq }) => {
                 self.write(conn, viewer::heard(&cseq, Some(&sid)));
                 match self.standing.left(&sid) {
-                    Left::Asked(viewer) => self.inputs.push(Input::HungUp { viewer, sid }),
-                    Left::Stood => self.inputs.push(over(sid, OverWhy::Quit, Load::default())),
+                    Left::Asked(viewer) => self.inputs.push(Input::Disconnected { viewer, sid }),
+                    Left::Stood => self.inputs.push(over(sid, EndReason::Quit, Load::default())),
                     Left::Unknown => {}
                 }
             }
@@ -206,7 +206,7 @@
     pub(super) fn adopt(
         &mut self,
         conn: ConnId,
-        sid: &Sid,
+        sid: &SessionId,
         name: &str,
         arrival: cloverhollow_session::Arrival<Ask>,
     ) {
@@ -222,7 +222,7 @@
         self.standing.adopt(sid, conn, server, now);
         self.links.stands(server);
         self.inputs.push(Input::Adopted { arrival, server });
-        if let Some(address) = self.core.list().address(server) {
+        if let Some(address) = self.core.server_list().address(server) {
             self.ended_early(sid, server, address);
         }
     }
--- a/crates/node/src/links/ends.rs
+++ b/crates/node/src/links/ends.rs
@@ -19,7 +19,7 @@
         self.watch.idle(self.clock.now(), link.server, id);
     }
 
-    fn settle(&mut self, id: LinkId) -> Option<(AttemptId, Sid)> {
+    fn settle(&mut self, id: LinkId) -> Option<(AttemptId, SessionId)> {
         let link = self.links.get_mut(&id)?;
         let (attempt, sid) = link.attempt.take()?;
         self.out.remove(&attempt);
@@ -65,11 +65,11 @@
         Some((attempt, AttemptEnd::Reset))
     }
 
-    pub(crate) fn recall(&mut self, attempt: AttemptId, why: RecallWhy) -> Ended {
+    pub(crate) fn recall(&mut self, attempt: AttemptId, why: CancelReason) -> Ended {
         let id = self.out.get(&attempt).copied()?;
         let link = self.links.get(&id)?;
         let (unsent, up) = (link.gate.recall(), link.up);
-        if !unsent && why == RecallWhy::Drained {
+        if !unsent && why == CancelReason::Drained {
             return None;
         }
         let (attempt, sid) = self.settle(id)?;
@@ -83,7 +83,7 @@
     }
 
     /// Tells the server that the set-up on that connection is given up, and closes it.
-    fn give_up(&mut self, id: LinkId, sid: &Sid) {
+    fn give_up(&mut self, id: LinkId, sid: &SessionId) {
         let Some(link) = self.links.get(&id) else { return };
         let (server, line) = (link.server, Line::finish(sid, cause::DONE));
         let told = link.hold.last(line.encode());
--- a/crates/node/src/links/lines.rs
+++ b/crates/node/src/links/lines.rs
@@ -47,7 +47,7 @@
 
     /// The process of a server has been replaced by then: connections opened before lead to the former one. It is told to
     /// let its sessions go, should it live all the same, and each connection is closed once no set-up is open on it.
-    pub(crate) fn replaced(&mut self, server: ServerId, by: Duration, cut: &[Sid]) {
+    pub(crate) fn replaced(&mut self, server: ServerId, by: Duration, cut: &[SessionId]) {
         let former = |l: &Link| l.server == server && l.up && !l.closing && l.opened < by;
         let ids: Vec<LinkId> = self.links.iter().filter(|(_, l)| former(l)).map(|(id, _)| *id).collect();
         if let Some(link) = ids.first().and_then(|id| self.links.get(id)) {
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -13,7 +13,7 @@
 use cloverhollow_net::{Clock, Gate};
 use cloverhollow_platform::lines::{cause, Line};
 use cloverhollow_platform::watch::{Act, Down, LinkId, Watch};
-use cloverhollow_session::{AttemptEnd, AttemptId, RecallWhy, Sid};
+use cloverhollow_session::{AttemptEnd, AttemptId, CancelReason, SessionId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -64,10 +64,10 @@
     /// It closes after what is queued: nothing more is written on it.
     closing: bool,
     /// The set-up that is open on it.
-    attempt: Option<(AttemptId, Sid)>,
+    attempt: Option<(AttemptId, SessionId)>,
     /// The session of the last one. A second copy of its refusal would be taken for the next attempt's: no session
     /// goes on one connection twice.
-    last: Option<Sid>,
+    last: Option<SessionId>,
     /// Settles whether that set-up's first byte goes out.
     gate: Arc<Gate>,
 }
@@ -77,7 +77,7 @@
     pub(crate) attempt: AttemptId,
     pub(crate) server: ServerId,
     pub(crate) address: SocketAddr,
-    pub(crate) sid: Sid,
+    pub(crate) sid: SessionId,
     /// It may take effect once only.
     pub(crate) paid: bool,
     pub(crate) line: Bytes,
@@ -154,7 +154,7 @@
         &mut self,
         server: ServerId,
         address: SocketAddr,
-        attempt: Option<(AttemptId, Sid)>,
+        attempt: Option<(AttemptId, SessionId)>,
         first: Option<First>,
     ) {
         self.next += 1;
@@ -192,7 +192,7 @@
     }
 
     /// The session of that set-up, if it is open on that connection.
-    pub(crate) fn open_on(&self, id: LinkId, attempt: AttemptId) -> Option<&Sid> {
+    pub(crate) fn open_on(&self, id: LinkId, attempt: AttemptId) -> Option<&SessionId> {
         let (open, sid) = self.links.get(&id)?.attempt.as_ref()?;
         (*open == attempt).then_some(sid)
     }
--- a/crates/node/src/links/tests/lines.rs
+++ b/crates/node/src/links/tests/lines.rs
@@ -10,7 +10,7 @@
     rig.send();
     assert!(read(&mut server).await.contains("0000000000000002"));
     while rig.links.links[&id].hold.write(Bytes::from_static(b"{}\n")) {}
-    let end = rig.links.recall(attempt(2), RecallWhy::TimedOut);
+    let end = rig.links.recall(attempt(2), CancelReason::TimedOut);
     assert_eq!(end, Some((attempt(2), AttemptEnd::Unanswered)));
     loop {
         let line = read(&mut server).await;
--- a/crates/node/src/links/tests/mod.rs
+++ b/crates/node/src/links/tests/mod.rs
@@ -34,7 +34,7 @@
     /// Its first byte goes out within that time, or never.
     fn send_until(&mut self, within: Duration) {
         self.sent += 1;
-        let sid: Sid = format!("{:016x}", self.sent).into();
+        let sid: SessionId = format!("{:016x}", self.sent).into();
         let line = Line::new(Verb::Start, &sid).encode();
         let until = self.links.clock.now() + within;
         let (attempt, address) = (attempt(self.sent), self.listener.local_addr().unwrap());
@@ -107,7 +107,7 @@
     let mut rig = Rig::new().await;
     let (_, mut server) = rig.used().await;
     rig.send();
-    let ended = rig.links.recall(attempt(2), RecallWhy::TimedOut);
+    let ended = rig.links.recall(attempt(2), CancelReason::TimedOut);
     assert_eq!(ended, Some((attempt(2), AttemptEnd::NeverSent)));
     rig.send();
     assert!(read(&mut server).await.contains("0000000000000003"), "the second was never written");
@@ -122,11 +122,14 @@
     rig.send_until(Duration::ZERO);
     let Some(Mail::Unsent(link, late)) = rig.mails.recv().await else { panic!("it was not too late") };
     assert_eq!((link, late), (id, attempt(2)));
-    assert_eq!(rig.links.recall(attempt(2), RecallWhy::TimedOut), Some((attempt(2), AttemptEnd::NeverSent)));
+    assert_eq!(
+        rig.links.recall(attempt(2), CancelReason::TimedOut),
+        Some((attempt(2), AttemptEnd::NeverSent))
+    );
     rig.send();
     assert!(read(&mut server).await.contains("0000000000000003"));
     assert_eq!(rig.links.unsent(link, late), None);
-    let end = rig.links.recall(attempt(3), RecallWhy::TimedOut);
+    let end = rig.links.recall(attempt(3), CancelReason::TimedOut);
     assert_eq!(end, Some((attempt(3), AttemptEnd::Unanswered)), "it is out still");
 }
 
@@ -145,7 +148,7 @@
 async fn a_second_copy_of_a_refusal_does_not_end_the_next_attempt() {
     let mut rig = Rig::new().await;
     let (first, mut server) = rig.used().await;
-    let (attempt, sid) = (AttemptId { request: 1, number: 1 }, Sid::from("0000000000000001"));
+    let (attempt, sid) = (AttemptId { request: 1, number: 1 }, SessionId::from("0000000000000001"));
     let line = Line::new(Verb::Start, &sid).encode();
     let until = rig.links.clock.now() + LONG;
     let address = rig.listener.local_addr().unwrap();
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -92,7 +92,7 @@
     if let Some(listen) = peer_listen {
         desk.gossip = GossipSocket::open(listen, &peers, seed, mail.clone()).await;
     }
-    desk.first(Input::Clock(ahead));
+    desk.first(Input::ClockOffset(ahead));
     // Nothing is kept, so an earlier life may have set up somewhere a moment ago: its turns at cold servers count as used.
     desk.first(Input::Recovered(Box::new(Recovered { known: Duration::MAX, ..Recovered::unkept() })));
     for told in known {
--- a/crates/node/src/viewer.rs
+++ b/crates/node/src/viewer.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cloverhollow_platform::rtsp::{Addressee, Message, Method, Start};
 use cloverhollow_platform::standing::ConnId;
-use cloverhollow_session::Sid;
+use cloverhollow_session::SessionId;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
@@ -180,7 +180,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Waits {
     pub(crate) viewer: Arc<Viewer>,
-    pub(crate) sid: Sid,
+    pub(crate) sid: SessionId,
 }
 
 impl Waits {
--- a/crates/platform/src/channel.rs
+++ b/crates/platform/src/channel.rs
@@ -2,7 +2,7 @@
 
 mod directory;
 
-use cloverhollow_session::MOST_SERVERS;
+use cloverhollow_session::MAX_SERVERS;
 pub use directory::Directory;
 use serde::Deserialize;
 use serde_json::Value;
@@ -67,7 +67,7 @@
     Event { told: u64, what: String },
     #[error("event {told} after {known}")]
     Gap { told: u64, known: u64 },
-    #[error("event {told}: more than {MOST_SERVERS} servers")]
+    #[error("event {told}: more than {MAX_SERVERS} servers")]
     TooMany { told: u64 },
     #[error("event {told}: the weight of server `{name}` is not over 0 and up to {MOST_WEIGHT}")]
     Weight { told: u64, name: String },
--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use cloverhollow::{ListMode, ServerId};
-use cloverhollow_session::{title_id, ListNews, ServerEntry, WireState};
+use cloverhollow_session::{title_id, ListUpdate, ServerEntry, WireState};
 use std::collections::{BTreeSet, HashMap};
 
 /// A process of a server: where it listens, and its start as it is told.
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// It leaves a gap, or can't be used. Nothing has changed then.
-    pub fn take(&mut self, told: Told, unix_ms: u64) -> Result<Option<ListNews>, ChannelError> {
+    pub fn take(&mut self, told: Told, unix_ms: u64) -> Result<Option<ListUpdate>, ChannelError> {
         if self.begun && told.cursor <= self.cursor {
             return Ok(None);
         }
@@ -88,7 +88,7 @@
             self.left.extend(missing.map(|(name, listing)| ((name, listing.process), listing.id)));
         }
         let mode = if whole { ListMode::Whole } else { ListMode::Patch };
-        Ok(Some(ListNews { mode, version: self.cursor, entries }))
+        Ok(Some(ListUpdate { mode, version: self.cursor, entries }))
     }
 
     /// Whether an event can be used, before anything changes.
@@ -107,7 +107,7 @@
                 Status::InService | Status::Terminating => _ = there.insert(&e.name),
             }
         }
-        if nodes.endpoints.len() > MOST_SERVERS || there.len() > MOST_SERVERS {
+        if nodes.endpoints.len() > MAX_SERVERS || there.len() > MAX_SERVERS {
             return Err(ChannelError::TooMany { told });
         }
         Ok(())
@@ -165,7 +165,7 @@
             id,
             key: Some(title_id(&e.name)),
             address: e.address,
-            hall: e.zone,
+            zone: e.zone,
             kind: e.kind,
             cell: e.group,
             weight: e.weight,
--- a/crates/platform/src/early.rs
+++ b/crates/platform/src/early.rs
@@ -3,7 +3,7 @@
 //! A process may write a release on any of its connections. It may overtake the answer to the set-up, which comes on a
 //! connection of its own, and after a restart of the session manager it may come before the session is handed over.
 
-use cloverhollow_session::{AttemptId, Sid};
+use cloverhollow_session::{AttemptId, SessionId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 /// All that are kept.
 #[derive(Debug, Default)]
 pub struct EarlyReleases {
-    by_session: HashMap<Sid, Early>,
+    by_session: HashMap<SessionId, Early>,
 }
 
 impl EarlyReleases {
@@ -33,7 +33,7 @@
     pub fn keep(
         &mut self,
         now: Duration,
-        sid: Sid,
+        sid: SessionId,
         process: SocketAddr,
         attempt: Option<AttemptId>,
         cause: i64,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -5,7 +5,7 @@
 mod wire;
 
 use cloverhollow::{Class, Limits, Ration, Rules, Rung, Settings, Tenant};
-use cloverhollow_session::{ClassTerms, Terms};
+use cloverhollow_session::{ClassConfig, CoreConfig};
 use figures::Whole;
 use std::sync::Arc;
 use std::time::Duration;
@@ -158,21 +158,21 @@
 
 impl Site {
     /// What the session core is told of them.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> CoreConfig {
         let s = &self.settings;
         let classes = s.classes.iter().zip(&self.deadlines);
-        Terms {
-            classes: classes.map(|(c, &deadline)| ClassTerms { paid: c.at_most_once, deadline }).collect(),
+        CoreConfig {
+            classes: classes.map(|(c, &deadline)| ClassConfig { paid: c.at_most_once, deadline }).collect(),
             // Rates in kbps are for players' hints, which the platform has none of.
-            rates: s.classes.iter().map(|_| Arc::from([])).collect(),
-            kinds: self.names.kinds.clone(),
-            hall: self.names.zone.clone(),
-            hold_off: s.limits.hold_off,
-            margin: MARGIN,
-            most: MOST_SESSIONS,
-            waiting: 1,
-            idle: None,
-            memory: None,
+            rates_kbps: s.classes.iter().map(|_| Arc::from([])).collect(),
+            server_kinds: self.names.kinds.clone(),
+            zone: self.names.zone.clone(),
+            retry_after: s.limits.hold_off,
+            answer_margin: MARGIN,
+            max_sessions: MOST_SESSIONS,
+            max_waiting: 1,
+            idle_timeout: None,
+            persistence: None,
         }
     }
 }
--- a/crates/platform/src/standing/conns.rs
+++ b/crates/platform/src/standing/conns.rs
@@ -12,7 +12,7 @@
     }
 
     /// A connection is gone: the set-ups open on it are given up.
-    pub fn closed(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+    pub fn closed(&mut self, conn: ConnId) -> Vec<(ViewerId, SessionId)> {
         let given_up = self.closing(conn);
         self.conns.remove(&conn);
         given_up
@@ -43,7 +43,7 @@
     }
 
     /// It is being closed: the set-ups open on it are given up.
-    pub fn closing(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+    pub fn closing(&mut self, conn: ConnId) -> Vec<(ViewerId, SessionId)> {
         let Some(c) = self.conns.get_mut(&conn) else { return Vec::new() };
         c.closing = true;
         let open = std::mem::take(&mut c.open);
--- a/crates/platform/src/standing/mod.rs
+++ b/crates/platform/src/standing/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::lines::cause;
 use cloverhollow::ServerId;
-use cloverhollow_session::{Sid, ViewerId};
+use cloverhollow_session::{SessionId, ViewerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 struct Conn {
     /// Set-ups whose answer is owed.
-    open: BTreeSet<Sid>,
+    open: BTreeSet<SessionId>,
     /// A usual viewer's: a session has stood on it.
     usual: bool,
     /// Sessions that were set up on it and stand.
@@ -62,7 +62,7 @@
     /// Where.
     pub conn: ConnId,
     /// Of which session.
-    pub sid: Sid,
+    pub sid: SessionId,
     /// For which cause.
     pub cause: i64,
 }
@@ -81,11 +81,11 @@
 /// All of it.
 #[derive(Debug, Default)]
 pub struct Standing {
-    sessions: HashMap<Sid, Session>,
-    asked: HashMap<ViewerId, Sid>,
+    sessions: HashMap<SessionId, Session>,
+    asked: HashMap<ViewerId, SessionId>,
     conns: BTreeMap<ConnId, Conn>,
-    by_server: HashMap<ServerId, BTreeSet<Sid>>,
-    owed: VecDeque<(Sid, i64)>,
+    by_server: HashMap<ServerId, BTreeSet<SessionId>>,
+    owed: VecDeque<(SessionId, i64)>,
 }
 
 impl Standing {
@@ -105,7 +105,7 @@
     }
 
     /// A set-up is taken.
-    pub fn ask(&mut self, sid: &Sid, conn: ConnId, viewer: ViewerId) {
+    pub fn ask(&mut self, sid: &SessionId, conn: ConnId, viewer: ViewerId) {
         let session =
             Session { conn, state: State::Asked(viewer), cause: None, held: false, since: Duration::ZERO };
         self.sessions.insert(sid.clone(), session);
@@ -120,7 +120,7 @@
         &mut self,
         viewer: ViewerId,
         stands: Option<(ServerId, Duration)>,
-    ) -> Option<(ConnId, Sid)> {
+    ) -> Option<(ConnId, SessionId)> {
         let sid = self.asked.remove(&viewer)?;
         let s = self.sessions.get_mut(&sid)?;
         let conn = s.conn;
@@ -141,20 +141,20 @@
     }
 
     /// A session stands already, handed over at a start.
-    pub fn adopt(&mut self, sid: &Sid, conn: ConnId, server: ServerId, since: Duration) {
+    pub fn adopt(&mut self, sid: &SessionId, conn: ConnId, server: ServerId, since: Duration) {
         let (state, cause) = (State::Stands(server), Some(cause::RESET));
         self.sessions.insert(sid.clone(), Session { conn, state, cause, held: true, since });
         self.stands(conn, server, sid);
     }
 
-    fn stands(&mut self, conn: ConnId, server: ServerId, sid: &Sid) {
+    fn stands(&mut self, conn: ConnId, server: ServerId, sid: &SessionId) {
         self.by_server.entry(server).or_default().insert(sid.clone());
         if let Some(c) = self.conns.get_mut(&conn) {
             c.standing += 1;
         }
     }
 
-    fn give_up(&mut self, sid: &Sid) -> Option<ViewerId> {
+    fn give_up(&mut self, sid: &SessionId) -> Option<ViewerId> {
         let State::Asked(viewer) = self.sessions.get(sid)?.state else { return None };
         self.sessions.remove(sid);
         self.asked.remove(&viewer);
@@ -162,7 +162,7 @@
     }
 
     /// A viewer's TEARDOWN: it is owed nothing any more.
-    pub fn left(&mut self, sid: &Sid) -> Left {
+    pub fn left(&mut self, sid: &SessionId) -> Left {
         let conn = self.sessions.get(sid).map(|s| s.conn);
         if let Some(viewer) = self.give_up(sid) {
             if let Some(c) = conn.and_then(|conn| self.conns.get_mut(&conn)) {
@@ -191,8 +191,8 @@
     }
 
     /// Sessions that stand at a server since before that time.
-    pub fn at(&self, server: ServerId, before: Duration) -> Vec<Sid> {
-        let older = |sid: &&Sid| self.sessions.get(*sid).is_some_and(|s| s.since < before);
+    pub fn at(&self, server: ServerId, before: Duration) -> Vec<SessionId> {
+        let older = |sid: &&SessionId| self.sessions.get(*sid).is_some_and(|s| s.since < before);
         self.by_server.get(&server).into_iter().flatten().filter(older).cloned().collect()
     }
 
--- a/crates/platform/src/standing/releases.rs
+++ b/crates/platform/src/standing/releases.rs
@@ -4,7 +4,7 @@
 
 impl Standing {
     /// A session that stood is over: the release to be written now, where one is owed and a connection is open.
-    pub fn over(&mut self, sid: &Sid) -> Option<Release> {
+    pub fn over(&mut self, sid: &SessionId) -> Option<Release> {
         let State::Stands(server) = self.sessions.get(sid)?.state else { return None };
         let s = self.sessions.remove(sid)?;
         if let Some(at) = self.by_server.get_mut(&server) {
@@ -25,7 +25,7 @@
     }
 
     /// Where a release goes that can't go on its own connection; it waits if there is none.
-    pub fn place(&mut self, sid: &Sid, cause: i64) -> Option<Release> {
+    pub fn place(&mut self, sid: &SessionId, cause: i64) -> Option<Release> {
         let usual = || self.conns.iter().rev().filter(|(_, c)| c.usual && !c.closing);
         // One without a session may be closed by its viewer in the same instant.
         let any = || usual().find(|(_, c)| c.standing > 0).or_else(|| usual().next()).map(|(id, _)| *id);
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -4,7 +4,7 @@
 use crate::settings::{index_of, Site};
 use bytes::Bytes;
 use cloverhollow_hints::{Contradictions, Faults};
-use cloverhollow_session::{Answer, Arrival, Sid, ViewerId};
+use cloverhollow_session::{Answer, Arrival, SessionId, ViewerId};
 use std::time::Duration;
 
 /// Longest that any viewer may say it waits; the class's own deadline binds besides. A session that is handed over
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Setup {
     /// The session.
-    pub sid: Sid,
+    pub sid: SessionId,
     /// It plays already at the server of this name: no answer is owed.
     pub at: Option<String>,
     /// For the core, but for who waits.
@@ -43,7 +43,7 @@
     /// A set-up is given up, or a session released.
     Teardown {
         /// Which.
-        sid: Sid,
+        sid: SessionId,
         /// Number of the message.
         cseq: String,
     },
@@ -68,7 +68,7 @@
     pub to: rtsp::Addressee,
 }
 
-fn session_id(m: &Message) -> Option<Sid> {
+fn session_id(m: &Message) -> Option<SessionId> {
     let id = m.header("Session")?;
     (id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit())).then(|| id.into())
 }
@@ -114,7 +114,7 @@
     }
 }
 
-fn setup(m: &Message, uri: &str, sid: Option<Sid>, site: &Site) -> Result<Setup, &'static str> {
+fn setup(m: &Message, uri: &str, sid: Option<SessionId>, site: &Site) -> Result<Setup, &'static str> {
     let sid = sid.ok_or("no session id of 16 hex digits")?;
     let key = uri.rsplit('/').next().unwrap_or_default();
     let title = u64::from_str_radix(key, 16).ok().filter(|_| (1..=16).contains(&key.len()));
@@ -136,15 +136,15 @@
         title,
         class,
         tenant,
-        top: route.top.map_or(usize::MAX, |t| t as usize),
+        max_rung: route.top.map_or(usize::MAX, |t| t as usize),
         first_cell: route.home,
-        cells: route.copies,
-        again: route.again,
-        patience: deadline.map_or(wait, |d| wait.min(d)),
-        underway: false,
-        faults: Faults::default(),
-        contradictions: Contradictions::default(),
-        ask: Ask { class: site.names.classes[class].clone(), key: key.to_owned(), blob },
+        cell_count: route.copies,
+        repeated: route.again,
+        max_wait: deadline.map_or(wait, |d| wait.min(d)),
+        already_playing: false,
+        hint_faults: Faults::default(),
+        hint_contradictions: Contradictions::default(),
+        payload: Ask { class: site.names.classes[class].clone(), key: key.to_owned(), blob },
     };
     Ok(Setup { sid, at: route.at, arrival })
 }
@@ -182,12 +182,14 @@
 /// The final answer to a set-up; `description`: of the video server, for a session that stands.
 pub fn answer<B>(sid: &str, answer: &Answer<B>, description: impl FnOnce(&B) -> Bytes) -> Bytes {
     match answer {
-        Answer::Stream { answer, .. } => rtsp::response(200, "1", Some(sid), &[], &description(answer)),
+        Answer::Stream { response: answer, .. } => {
+            rtsp::response(200, "1", Some(sid), &[], &description(answer))
+        }
         // Nobody follows on the platform: an id that is held already is refused before the core sees it.
         Answer::Follow(_) => rtsp::response(400, "1", Some(sid), &[], b""),
-        Answer::Refused { after, .. } => refusal(sid, *after),
-        Answer::Failed { late: true, .. } => rtsp::response(504, "1", Some(sid), &[], b""),
-        Answer::Failed { late: false, .. } => failure(sid),
+        Answer::Refused { retry_after: after, .. } => refusal(sid, *after),
+        Answer::Failed { timed_out: true, .. } => rtsp::response(504, "1", Some(sid), &[], b""),
+        Answer::Failed { timed_out: false, .. } => failure(sid),
     }
 }
 
--- a/crates/platform/tests/channel.rs
+++ b/crates/platform/tests/channel.rs
@@ -2,7 +2,7 @@
 
 use cloverhollow::ListMode;
 use cloverhollow_platform::channel::{ChannelError, Directory};
-use cloverhollow_session::{ListNews, WireState, MOST_SERVERS};
+use cloverhollow_session::{ListUpdate, WireState, MAX_SERVERS};
 use serde_json::{json, Value};
 
 const NOW: u64 = 1_790_000_000_000;
@@ -16,7 +16,7 @@
     json!({"cursor": cursor, "nodes": {"index": 7, "snapshot": snapshot, "endpoints": endpoints}})
 }
 
-fn take(d: &mut Directory, value: Value) -> Result<Option<ListNews>, ChannelError> {
+fn take(d: &mut Directory, value: Value) -> Result<Option<ListUpdate>, ChannelError> {
     d.take(Directory::read(&value.to_string())?, NOW)
 }
 
@@ -111,13 +111,13 @@
         event(cursor, cursor == 1, &servers)
     };
     let mut d = Directory::default();
-    take(&mut d, patch(1, 0..MOST_SERVERS - 1, "in_service")).unwrap();
-    let over = take(&mut d, patch(2, MOST_SERVERS - 1..MOST_SERVERS + 1, "in_service"));
+    take(&mut d, patch(1, 0..MAX_SERVERS - 1, "in_service")).unwrap();
+    let over = take(&mut d, patch(2, MAX_SERVERS - 1..MAX_SERVERS + 1, "in_service"));
     assert!(matches!(over, Err(ChannelError::TooMany { told: 2 })));
-    assert_eq!((d.cursor(), d.server(&MOST_SERVERS.to_string())), (1, None), "nothing has changed");
-    take(&mut d, patch(2, MOST_SERVERS - 1..MOST_SERVERS, "in_service")).unwrap();
+    assert_eq!((d.cursor(), d.server(&MAX_SERVERS.to_string())), (1, None), "nothing has changed");
+    take(&mut d, patch(2, MAX_SERVERS - 1..MAX_SERVERS, "in_service")).unwrap();
     take(&mut d, patch(3, 0..1, "terminated")).unwrap();
-    take(&mut d, patch(4, MOST_SERVERS..MOST_SERVERS + 1, "in_service")).unwrap();
+    take(&mut d, patch(4, MAX_SERVERS..MAX_SERVERS + 1, "in_service")).unwrap();
 }
 
 fn number(d: &mut Directory, cursor: u64, snapshot: bool, servers: &[(&str, &str, u64)]) -> Option<u64> {
--- a/crates/platform/tests/drawn/front.rs
+++ b/crates/platform/tests/drawn/front.rs
@@ -40,7 +40,7 @@
     now: Duration,
     next: u64,
     cursor: u64,
-    pub(super) held: BTreeMap<Sid, Held>,
+    pub(super) held: BTreeMap<SessionId, Held>,
     pub(super) states: BTreeMap<u64, WireState>,
     pub(super) left: BTreeSet<ViewerId>,
     pub(super) inputs: Vec<In>,
@@ -56,7 +56,7 @@
         let mut core = Core::new(Brain::new(site.settings.clone(), seed), site.terms(), seed);
         let told = Arc::new(Mutex::new(Vec::new()));
         let tap = told.clone();
-        core.set_tap(Box::new(move |now, events, actions| {
+        core.set_step_observer(Box::new(move |now, events, actions| {
             tap.lock().unwrap().push(format!("{now:?} {events:?} {actions:?}"));
         }));
         let (directory, held, states, left) = Default::default();
@@ -116,11 +116,11 @@
             self.settle();
         }
         assert!(self.held.values().all(|h| h.waits.is_none() && h.out.is_none()), "rule 1: somebody waits");
-        assert_eq!(self.core.held(), self.held.len());
+        assert_eq!(self.core.session_count(), self.held.len());
     }
 
     fn settle(&mut self) {
-        while !self.inputs.is_empty() || self.core.next_due().is_some_and(|due| due <= self.now) {
+        while !self.inputs.is_empty() || self.core.next_deadline().is_some_and(|due| due <= self.now) {
             let inputs = std::mem::take(&mut self.inputs);
             let commands = self.core.step(self.now, inputs);
             self.core.check().unwrap_or_else(|broken| panic!("{broken}"));
@@ -151,10 +151,10 @@
             self.states.clear();
         }
         self.states.extend(news.entries.iter().map(|e| (e.id, e.state)));
-        self.inputs.push(Input::List(news));
+        self.inputs.push(Input::ListUpdate(news));
     }
 
-    fn arrival(&mut self, sid: &Sid, patience: Duration) -> Arrival<u32> {
+    fn arrival(&mut self, sid: &SessionId, patience: Duration) -> Arrival<u32> {
         self.next += 1;
         Arrival {
             viewer: ViewerId(self.next),
@@ -162,28 +162,27 @@
             title: self.rng.u64(0..5),
             class: self.rng.usize(0..self.site.settings.classes.len()),
             tenant: (!self.site.settings.tenants.is_empty()).then_some(0),
-            top: *self.rng.choice(&[0, 1, 3, usize::MAX]).unwrap(),
+            max_rung: *self.rng.choice(&[0, 1, 3, usize::MAX]).unwrap(),
             first_cell: self.rng.u64(0..50),
-            cells: self.rng.u64(0..50),
-            again: self.rng.bool(),
-            patience,
-            underway: false,
-            faults: Faults::default(),
-            contradictions: Contradictions::default(),
-            ask: 0,
+            cell_count: self.rng.u64(0..50),
+            repeated: self.rng.bool(),
+            max_wait: patience,
+            already_playing: false,
+            hint_faults: Faults::default(),
+            hint_contradictions: Contradictions::default(),
+            payload: 0,
         }
     }
 
     fn holds(&mut self, a: &Arrival<u32>, waits: Option<(ViewerId, Duration)>) {
-        let (adopted, plays) = (waits.is_none(), waits.is_none());
-        let held =
-            Held { title: a.title, class: a.class, top: a.top, waits, out: None, plays, ran: plays, adopted };
+        let (top, adopted, plays) = (a.max_rung, waits.is_none(), waits.is_none());
+        let held = Held { title: a.title, class: a.class, top, waits, out: None, plays, ran: plays, adopted };
         self.held.insert(a.sid.clone(), held);
     }
 
     fn asks(&mut self) {
         for _ in 0..self.rng.usize(1..5) {
-            let sid: Sid = format!("{:016x}", self.next).into();
+            let sid: SessionId = format!("{:016x}", self.next).into();
             let patience = ms(self.rng.u64(0..4_000));
             let a = self.arrival(&sid, patience);
             self.holds(&a, Some((a.viewer, self.now + patience)));
@@ -193,13 +192,13 @@
 
     fn adopts(&mut self) {
         let Some(server) = self.directory.server(&format!("s{}", self.rng.u64(0..12))) else { return };
-        let sid: Sid = format!("{:016x}", self.next).into();
+        let sid: SessionId = format!("{:016x}", self.next).into();
         let arrival = self.arrival(&sid, ms(4_000_000));
         self.holds(&arrival, None);
         self.inputs.push(Input::Adopted { arrival, server });
     }
 
-    fn some(&mut self, fits: impl Fn(&Held) -> bool) -> Option<Sid> {
+    fn some(&mut self, fits: impl Fn(&Held) -> bool) -> Option<SessionId> {
         let fitting: Vec<_> = self.held.iter().filter(|(_, h)| fits(h)).map(|(sid, _)| sid.clone()).collect();
         self.rng.choice(fitting)
     }
@@ -209,7 +208,7 @@
         let h = self.held.get_mut(&sid).unwrap();
         let (viewer, _) = h.waits.take().unwrap();
         self.left.insert(viewer);
-        self.inputs.push(Input::HungUp { viewer, sid: sid.clone() });
+        self.inputs.push(Input::Disconnected { viewer, sid: sid.clone() });
         if h.out.is_none() {
             self.held.remove(&sid);
         }
@@ -227,14 +226,14 @@
             _ => {
                 let h = self.held.get_mut(&sid).unwrap();
                 (h.out, h.plays, h.ran) = (None, true, true);
-                self.inputs.push(Input::Playing { attempt, load: Load::default(), answer: () });
+                self.inputs.push(Input::Playing { attempt, load: Load::default(), response: () });
             }
         }
     }
 
     fn over(&mut self) {
         if let Some(sid) = self.some(|h| h.plays) {
-            self.inputs.push(Input::Over { sid, why: OverWhy::Ended, load: Load::default() });
+            self.inputs.push(Input::SessionEnded { sid, reason: EndReason::Ended, load: Load::default() });
         }
     }
 
@@ -242,7 +241,7 @@
         let x = self.rng.f64() * 1.4;
         let note = *self.rng.choice(&[Note::Share(x.min(1.0)), Note::Link(x), Note::Rack(x)]).unwrap();
         if let Some(sid) = self.some(|h| h.plays) {
-            self.inputs.push(Input::Note { sid, note });
+            self.inputs.push(Input::SessionReport { sid, report: note });
         }
     }
 }
--- a/crates/platform/tests/drawn/looks.rs
+++ b/crates/platform/tests/drawn/looks.rs
@@ -27,10 +27,10 @@
                 assert!(class.seats == 0 || taken < class.seats, "rule 5: {taken} of {} seats", class.seats);
                 self.held.get_mut(&s.sid).unwrap().out = Some((s.attempt, self.rng.bool()));
             }
-            Command::Recall { attempt, why } => {
+            Command::Cancel { attempt, reason: why } => {
                 let out = self.held.values().find_map(|h| h.out.filter(|(a, _)| *a == attempt));
                 match (out, why) {
-                    (None, _) | (Some((_, true)), RecallWhy::Drained) => {}
+                    (None, _) | (Some((_, true)), CancelReason::Drained) => {}
                     (Some((_, true)), _) => self.ended(attempt, AttemptEnd::Unanswered),
                     (Some((_, false)), _) => self.ended(attempt, AttemptEnd::NeverSent),
                 }
@@ -51,14 +51,14 @@
                     self.held.remove(&sid);
                 }
             }
-            Command::Over { sid, .. } => drop(self.held.remove(&sid)),
-            Command::Rung { sid, rung, .. } => {
+            Command::SessionEnded { sid, .. } => drop(self.held.remove(&sid)),
+            Command::RungChanged { sid, rung, .. } => {
                 let h = &self.held[&sid];
                 let class = &set.classes[h.class];
                 let top = class.top.min(h.top).min(set.ladder.len() - 1);
                 assert!(h.adopted || (class.floor..=top).contains(&rung), "rule 5: rung {rung}");
             }
-            Command::Keep(_) | Command::Merged { .. } | Command::Release { .. } => {}
+            Command::Persist(_) | Command::KnowledgeMerged { .. } | Command::Release { .. } => {}
         }
     }
 
--- a/crates/platform/tests/early.rs
+++ b/crates/platform/tests/early.rs
@@ -1,7 +1,7 @@
 //! Releases that come before their sessions stand.
 
 use cloverhollow_platform::early::{EarlyReleases, KEPT, MOST_EARLY};
-use cloverhollow_session::{AttemptId, Sid};
+use cloverhollow_session::{AttemptId, SessionId};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 #[test]
 fn past_the_bound_the_oldest_goes() {
     let mut early = EarlyReleases::default();
-    let sid = |n: usize| Sid::from(format!("{n:016x}"));
+    let sid = |n: usize| SessionId::from(format!("{n:016x}"));
     for n in 0..=MOST_EARLY {
         early.keep(NOW + Duration::from_micros(n as u64), sid(n), process(1), None, CAUSE);
     }
--- a/crates/platform/tests/standing.rs
+++ b/crates/platform/tests/standing.rs
@@ -2,7 +2,7 @@
 
 use cloverhollow_platform::lines::cause;
 use cloverhollow_platform::standing::{ConnId, Left, Release, Standing};
-use cloverhollow_session::{Sid, ViewerId};
+use cloverhollow_session::{SessionId, ViewerId};
 use std::time::Duration;
 
 const SERVER: u64 = 7;
@@ -14,8 +14,8 @@
 }
 
 /// A session that was asked for on that connection, and stands.
-fn stand(s: &mut Standing, sid: &str, conn: u64) -> Sid {
-    let (sid, viewer) = (Sid::from(sid), ViewerId(conn * 100 + sid.len() as u64));
+fn stand(s: &mut Standing, sid: &str, conn: u64) -> SessionId {
+    let (sid, viewer) = (SessionId::from(sid), ViewerId(conn * 100 + sid.len() as u64));
     s.ask(&sid, ConnId(conn), viewer);
     let (at, of) = s.answered(viewer, Some((SERVER, Duration::from_secs(5)))).unwrap();
     assert_eq!((at, of), (ConnId(conn), sid.clone()));
@@ -23,7 +23,7 @@
     sid
 }
 
-fn to(conn: u64, sid: &Sid, cause: i64) -> Option<Release> {
+fn to(conn: u64, sid: &SessionId, cause: i64) -> Option<Release> {
     Some(Release { conn: ConnId(conn), sid: sid.clone(), cause })
 }
 
@@ -43,7 +43,7 @@
 #[test]
 fn a_connection_that_only_carried_a_test_gets_no_release() {
     let mut s = conns(3);
-    let sid = Sid::from("handed-over");
+    let sid = SessionId::from("handed-over");
     s.adopt(&sid, ConnId(1), SERVER, Duration::ZERO);
     s.closed(ConnId(1));
     stand(&mut s, "b", 2);
@@ -85,7 +85,7 @@
     assert_eq!(s.left(&sid), Left::Stood);
     assert!(s.is_held(&sid), "its server is still to be told");
     assert_eq!(s.over(&sid), None);
-    let asked = Sid::from("b");
+    let asked = SessionId::from("b");
     s.ask(&asked, ConnId(1), ViewerId(9));
     assert_eq!((s.open(), s.open_on(ConnId(1))), (1, 1));
     assert_eq!(s.left(&asked), Left::Asked(ViewerId(9)));
@@ -96,7 +96,7 @@
 #[test]
 fn a_close_gives_up_what_is_open_and_one_moved_by_its_server_is_owed_no_release() {
     let mut s = conns(2);
-    let (a, b) = (Sid::from("a"), stand(&mut s, "b", 2));
+    let (a, b) = (SessionId::from("a"), stand(&mut s, "b", 2));
     s.ask(&a, ConnId(1), ViewerId(1));
     assert_eq!(s.closed(ConnId(1)), [(ViewerId(1), a)]);
     assert!(s.released(SERVER, &b, cause::CANCELLED));
@@ -106,7 +106,7 @@
 #[test]
 fn where_there_are_too_many_the_silent_go_first_and_never_one_with_a_set_up_open() {
     let mut s = conns(4);
-    s.ask(&Sid::from("a"), ConnId(1), ViewerId(1));
+    s.ask(&SessionId::from("a"), ConnId(1), ViewerId(1));
     s.spoke(ConnId(1));
     s.spoke(ConnId(2));
     let now = Duration::from_secs(1);
@@ -124,7 +124,7 @@
     }
     assert_eq!(s.spare(now), None);
     // What can't be trusted is closed whatever is open on it, and the module hears of that at once.
-    assert_eq!(s.closing(ConnId(1)), [(ViewerId(1), Sid::from("a"))]);
+    assert_eq!(s.closing(ConnId(1)), [(ViewerId(1), SessionId::from("a"))]);
     assert_eq!((s.spare(now), s.open()), (Some(ConnId(1)), 0));
 }
 
@@ -132,7 +132,7 @@
 fn what_stood_before_a_servers_start_is_told_apart() {
     let mut s = conns(1);
     let old = stand(&mut s, "old", 1);
-    let young = Sid::from("younger");
+    let young = SessionId::from("younger");
     s.adopt(&young, ConnId(1), SERVER, Duration::from_secs(9));
     assert_eq!(s.at(SERVER, Duration::from_secs(8)), [old]);
     assert_eq!(s.at(SERVER, Duration::MAX).len(), 2);
--- a/crates/platform/tests/viewers.rs
+++ b/crates/platform/tests/viewers.rs
@@ -48,9 +48,15 @@
     let Ok(Wish::Setup(s)) = viewer::read(with("", None), &site()) else { panic!("refused") };
     let a = &s.arrival;
     assert_eq!((&*s.sid, s.at, a.title), ("9b1f03aa5c7e2d41", None, 0x7f3a_9c21_e0b4_d655));
-    assert_eq!((a.class, a.tenant, a.top, a.first_cell, a.cells, a.again), (1, Some(1), 1, 4, 3, true));
-    assert_eq!(a.patience, Duration::from_millis(1500));
-    assert_eq!((&*a.ask.class, &*a.ask.key, &*a.ask.blob), ("clip", "7f3a9c21e0b4d655", "v=0\r\n"));
+    assert_eq!(
+        (a.class, a.tenant, a.max_rung, a.first_cell, a.cell_count, a.repeated),
+        (1, Some(1), 1, 4, 3, true)
+    );
+    assert_eq!(a.max_wait, Duration::from_millis(1500));
+    assert_eq!(
+        (&*a.payload.class, &*a.payload.key, &*a.payload.blob),
+        ("clip", "7f3a9c21e0b4d655", "v=0\r\n")
+    );
 }
 
 /// Seen on sockets: a session that is handed over names a waiting time of over an hour. It was refused, and its end
@@ -63,7 +69,7 @@
     let Ok(Wish::Setup(s)) = viewer::read(with("X-Setup-Ms", Some("4294967")), &site()) else {
         panic!("refused")
     };
-    assert_eq!(s.arrival.patience, Duration::from_secs(3));
+    assert_eq!(s.arrival.max_wait, Duration::from_secs(3));
 }
 
 #[test]
--- a/crates/platform/tests/zeros.rs
+++ b/crates/platform/tests/zeros.rs
@@ -45,18 +45,18 @@
     let s = &site.settings;
     let deadline = |i: usize| site.deadlines.get(i).copied().unwrap_or_default();
     let class =
-        |(i, c): (usize, &cloverhollow::Class)| ClassTerms { paid: c.at_most_once, deadline: deadline(i) };
-    let terms = Terms {
+        |(i, c): (usize, &cloverhollow::Class)| ClassConfig { paid: c.at_most_once, deadline: deadline(i) };
+    let terms = CoreConfig {
         classes: s.classes.iter().enumerate().map(class).collect(),
-        rates: s.classes.iter().map(|_| [].into()).collect(),
-        kinds: site.names.kinds.clone(),
-        hall: site.names.zone.clone(),
-        hold_off: s.limits.hold_off,
-        margin: MARGIN,
-        most: 100,
-        waiting: 1,
-        idle: None,
-        memory: None,
+        rates_kbps: s.classes.iter().map(|_| [].into()).collect(),
+        server_kinds: site.names.kinds.clone(),
+        zone: site.names.zone.clone(),
+        retry_after: s.limits.hold_off,
+        answer_margin: MARGIN,
+        max_sessions: 100,
+        max_waiting: 1,
+        idle_timeout: None,
+        persistence: None,
     };
     Core::new(Brain::new(s.clone(), 7), terms, 1)
 }
@@ -69,7 +69,7 @@
         id,
         key: None,
         address,
-        hall,
+        zone: hall,
         kind,
         cell: id,
         weight: 4.0,
@@ -86,15 +86,15 @@
         title: viewer,
         class,
         tenant: None,
-        top: 1,
+        max_rung: 1,
         first_cell: 0,
-        cells: 9,
-        again: false,
-        patience,
-        underway: false,
-        faults: Default::default(),
-        contradictions: Default::default(),
-        ask: (),
+        cell_count: 9,
+        repeated: false,
+        max_wait: patience,
+        already_playing: false,
+        hint_faults: Default::default(),
+        hint_contradictions: Default::default(),
+        payload: (),
     })
 }
 
@@ -115,8 +115,10 @@
     let mut now = DAY;
     let listed = if matches!(servers, Servers::None) { 0 } else { 4 };
     let entries = (1..=listed).map(entry).collect();
-    let mut inputs =
-        vec![Input::Clock(DAY), Input::List(ListNews { mode: ListMode::Whole, version: 1, entries })];
+    let mut inputs = vec![
+        Input::ClockOffset(DAY),
+        Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version: 1, entries }),
+    ];
     inputs.extend((0..site.settings.classes.len()).map(|c| arrival(c, c as u64 + 1, patience)));
     let (mut answers, mut open, mut circle) = (BTreeMap::new(), BTreeMap::new(), 0);
     loop {
@@ -126,14 +128,16 @@
             let end = |attempt, end| Input::AttemptEnded { attempt, end, load: Load::default() };
             match command {
                 Command::Send(s) => match servers {
-                    Servers::Answer => {
-                        inputs.push(Input::Playing { attempt: s.attempt, load: Load::default(), answer: () })
-                    }
+                    Servers::Answer => inputs.push(Input::Playing {
+                        attempt: s.attempt,
+                        load: Load::default(),
+                        response: (),
+                    }),
                     Servers::Full => inputs.push(end(s.attempt, AttemptEnd::Full)),
                     Servers::Refuse => inputs.push(end(s.attempt, AttemptEnd::NotConnected)),
                     Servers::Silent | Servers::None => _ = open.insert(s.attempt, s.sid),
                 },
-                Command::Recall { attempt, .. } => {
+                Command::Cancel { attempt, .. } => {
                     let out = open.remove(&attempt);
                     inputs.extend(out.map(|_| end(attempt, AttemptEnd::Unanswered)));
                 }
@@ -144,7 +148,7 @@
             }
         }
         if inputs.is_empty() {
-            match core.next_due() {
+            match core.next_deadline() {
                 Some(due) if due > DAY + Duration::from_secs(5) => break,
                 Some(due) if due > now => (now, circle) = (due, 0),
                 Some(_) => {}
--- a/crates/session/src/core/actions.rs
+++ b/crates/session/src/core/actions.rs
@@ -1,79 +1,81 @@
-//! What the decision module wants done.
+//! Execution of the policy's actions.
 
 use super::Core;
-use crate::held::{Phase, Session};
 use crate::policy::Policy;
-use crate::stats::count;
-use crate::timers::Due;
+use crate::session_state::{Phase, Session};
+use crate::stats::increment;
+use crate::timers::Timer;
 use crate::types::*;
 use cloverhollow::{Action, Event, Outcome, Report, RequestId, ServerId};
 use cloverhollow_recovery::Deed;
 use std::time::Duration;
 
-/// A set-up whose first byte has not gone out so long after the decision never goes out. Guards a front that
-/// stood still in between: it would act on what has changed since (rules 3 and 4).
-const STALE: Duration = Duration::from_secs(1);
-/// The same for a further attempt, which is counted when it is decided: one that goes out later would fall into
-/// another span of the ration (rule 6).
-const STALE_FURTHER: Duration = Duration::from_millis(100);
+/// Longest time from a decision to the first byte of its set-up. A process that was paused in between would send on
+/// outdated information (rules 3 and 4).
+const MAX_SEND_DELAY: Duration = Duration::from_secs(1);
+/// Longest time from a decision to the first byte of a retry. A retry counts against the retry budget when it is
+/// decided; one sent later would fall into another span of the budget (rule 6).
+const MAX_RETRY_SEND_DELAY: Duration = Duration::from_millis(100);
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
     pub(super) fn act(&mut self, action: Action) {
         match action {
-            Action::Send(request, server, within) => self.send(request, server, within),
+            Action::Send(request, server, timeout) => self.send(request, server, timeout),
             Action::Rung(request, rung) => self.set_rung(request, rung),
-            Action::Refuse(request, after) => {
-                let not_kept = self.sessions.get(&request).is_some_and(|s| s.not_kept);
-                let reason = match self.list.serving() {
-                    0 => Reason::NoServers,
-                    _ if not_kept => Reason::NotKept,
-                    _ => Reason::NoRoom,
+            Action::Refuse(request, retry_after) => {
+                let not_persisted = self.sessions.get(&request).is_some_and(|s| s.not_persisted);
+                let reason = match self.list.serving_count() {
+                    0 => RejectReason::NoServers,
+                    _ if not_persisted => RejectReason::NotPersisted,
+                    _ => RejectReason::NoRoom,
                 };
-                self.finish(request, || Answer::Refused { after, reason });
+                self.reject(request, || Answer::Refused { retry_after, reason });
             }
             Action::Fail(request) => {
-                let ran = self.sessions.get(&request).and_then(|s| s.ran);
-                let (late, reason) = match ran {
-                    Some(AttemptEnd::Error { .. } | AttemptEnd::Reset) => (false, Reason::ServerFailed),
-                    _ => (true, Reason::Unanswered),
+                let end = self.sessions.get(&request).and_then(|s| s.possibly_executed_end);
+                let (timed_out, reason) = match end {
+                    Some(AttemptEnd::Error { .. } | AttemptEnd::Reset) => (false, RejectReason::ServerFailed),
+                    _ => (true, RejectReason::Unanswered),
                 };
-                self.finish(request, || Answer::Failed { late, reason });
+                self.reject(request, || Answer::Failed { timed_out, reason });
             }
-            Action::Timer(after, token) => self.timers.arm(self.now + after, Due::Policy(token)),
-            // The shell keeps its subscription by itself: the settings say that the list is pushed.
+            Action::Timer(after, token) => self.timers.arm(self.now + after, Timer::Policy(token)),
+            // The caller keeps its subscription by itself: the settings say that the list is pushed.
             Action::Subscribe => {}
-            Action::Log(words) => tracing::info!("{words}"),
+            Action::Log(text) => tracing::info!("{text}"),
         }
     }
 
-    pub(super) fn send(&mut self, request: RequestId, server: ServerId, within: Duration) {
-        // Guards against whoever decides about a session that is out or plays already: two attempts would be out.
-        let deciding = |s: &&mut Session<A>| matches!(s.phase, Phase::Deciding);
-        let Some(s) = self.sessions.get_mut(&request).filter(deciding) else { return };
-        let number = s.sent;
-        s.sent += 1;
+    /// Begins an attempt. Ignored unless the session is waiting for a decision: a second attempt must not become
+    /// pending, and a playing session needs none.
+    pub(super) fn send(&mut self, request: RequestId, server: ServerId, timeout: Duration) {
+        let is_deciding = |s: &&mut Session<A>| matches!(s.phase, Phase::Deciding);
+        let Some(session) = self.sessions.get_mut(&request).filter(is_deciding) else { return };
+        let number = session.attempts;
+        session.attempts += 1;
         let attempt = AttemptId { request, number };
         let Some(address) = self.list.address(server) else {
             let report = Report::default();
             self.events.push(Event::Ended(request, number, server, Outcome::Moot, false, report));
             return;
         };
-        s.phase = Phase::Out { attempt, server, address, since: self.now, recalled: None };
-        let kbps = self.terms.rates[s.class].get(s.rung).copied().unwrap_or(0);
-        let (sid, rung, ask) = (s.sid.clone(), s.rung, s.ask.clone());
-        // Only what a rule counts over a death is taken down: other set-ups wait for nothing.
-        let rationed = self.terms.memory.as_ref().is_some_and(|m| m.rationed);
-        let (paid, further) = (s.paid, number > 0 && rationed);
-        let kept = self.terms.memory.is_some() && (paid || further);
-        let deed = kept.then(|| Deed::Out { sid: sid.to_string(), server, paid, further });
-        let usual = if further { STALE_FURTHER } else { STALE };
-        let until = self.now + self.policy.send_within(server).map_or(usual, |soon| soon.min(usual));
+        session.phase = Phase::Attempting { attempt, server, address, started_at: self.now, cancelled: None };
+        let kbps = self.config.rates_kbps[session.class].get(session.rung).copied().unwrap_or(0);
+        let (sid, rung, payload) = (session.sid.clone(), session.rung, session.payload.clone());
+        // Only what must be known after a restart is logged, so other set-ups wait for no disk.
+        let has_budget = self.config.persistence.as_ref().is_some_and(|p| p.retry_budget);
+        let (paid, further) = (session.paid, number > 0 && has_budget);
+        let is_logged = self.config.persistence.is_some() && (paid || further);
+        let log_record = is_logged.then(|| Deed::Out { sid: sid.to_string(), server, paid, further });
+        let default_delay = if further { MAX_RETRY_SEND_DELAY } else { MAX_SEND_DELAY };
+        let send_deadline =
+            self.now + self.policy.max_send_delay(server).map_or(default_delay, |d| d.min(default_delay));
         if number > 0 {
-            tracing::info!(session = %sid, %attempt, server, "tries again");
+            tracing::info!(session = %sid, %attempt, server, "set-up retried");
         }
-        count(&self.stats.attempts);
-        self.out_at.insert((server, attempt));
-        self.timers.arm(self.now + within, Due::Attempt(attempt));
+        increment(&self.stats.attempts);
+        self.pending_attempts.insert((server, attempt));
+        self.timers.arm(self.now + timeout, Timer::Attempt(attempt));
         self.commands.push(Command::Send(Setup {
             attempt,
             server,
@@ -82,33 +84,36 @@
             rung,
             kbps,
             paid,
-            deed,
-            within,
-            until,
-            ask,
+            log_record,
+            timeout,
+            send_deadline,
+            payload,
         }));
     }
 
     pub(super) fn set_rung(&mut self, request: RequestId, rung: usize) {
-        let Some(s) = self.sessions.get_mut(&request) else { return };
-        s.rung = rung;
-        if let Phase::Playing { route, .. } = &s.phase {
-            count(&self.stats.rung_changes);
-            tracing::info!(session = %s.sid, server = route.server, from = route.rung(), to = rung, "rung changes");
+        let Some(session) = self.sessions.get_mut(&request) else { return };
+        session.rung = rung;
+        if let Phase::Playing { route, .. } = &session.phase {
+            increment(&self.stats.rung_changes);
+            tracing::info!(
+                session = %session.sid, server = route.server, from = route.rung(), to = rung, "rung changed"
+            );
             route.set_rung(rung);
-            let (server, sid) = (route.server, s.sid.clone());
-            self.commands.push(Command::Rung { server, sid, rung });
+            let (server, sid) = (route.server, session.sid.clone());
+            self.commands.push(Command::RungChanged { server, sid, rung });
         }
     }
 
-    /// The one final answer to all that wait for a session that does not come to play.
-    pub(super) fn finish(&mut self, request: RequestId, answer: impl Fn() -> Answer<B>) {
-        // While an attempt is out nobody can say what became of it, and its server would keep what it set up.
-        let deciding = |s: &&mut Session<A>| matches!(s.phase, Phase::Deciding);
-        let Some(s) = self.sessions.get_mut(&request).filter(deciding) else { return };
-        for w in std::mem::take(&mut s.waiting) {
-            self.answer(w.viewer, answer());
+    /// Gives the final answer to all viewers that wait for a session which does not come to play.
+    ///
+    /// Ignored while an attempt is pending: its outcome is unknown, and its server would keep what it set up.
+    pub(super) fn reject(&mut self, request: RequestId, answer: impl Fn() -> Answer<B>) {
+        let is_deciding = |s: &&mut Session<A>| matches!(s.phase, Phase::Deciding);
+        let Some(session) = self.sessions.get_mut(&request).filter(is_deciding) else { return };
+        for waiting in std::mem::take(&mut session.waiting) {
+            self.answer(waiting.viewer, answer());
         }
-        self.forget(request);
+        self.remove_session(request);
     }
 }
--- a/crates/session/src/core/attempts.rs
+++ b/crates/session/src/core/attempts.rs
@@ -1,124 +1,139 @@
-//! Attempts at setting a session up: out, recalled, answered, ended.
+//! Attempts to set a session up: cancellation, success and failure.
 
 use super::Core;
-use crate::held::Phase;
 use crate::policy::Policy;
-use crate::stats::count;
+use crate::session_state::Phase;
+use crate::stats::increment;
 use crate::types::*;
 use cloverhollow::{Event, Outcome};
 use cloverhollow_recovery::{digest, Deed};
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
-    pub(super) fn recall(&mut self, attempt: AttemptId, why: RecallWhy) {
-        let Some(s) = self.sessions.get_mut(&attempt.request) else { return };
-        let Phase::Out { attempt: out, server, recalled, .. } = &mut s.phase else { return };
-        if *out != attempt || recalled.is_some_and(|r| r != RecallWhy::Drained) {
+    /// Cancels an attempt if it is pending and not cancelled already. A cancellation for a drain may be replaced,
+    /// because it does not reach an attempt that has been sent.
+    pub(super) fn cancel(&mut self, attempt: AttemptId, reason: CancelReason) {
+        let Some(session) = self.sessions.get_mut(&attempt.request) else { return };
+        let Phase::Attempting { attempt: pending, server, cancelled, .. } = &mut session.phase else {
+            return;
+        };
+        if *pending != attempt || cancelled.is_some_and(|r| r != CancelReason::Drained) {
             return;
         }
-        *recalled = Some(why);
-        if why == RecallWhy::TimedOut {
-            count(&self.stats.timed_out);
-            tracing::info!(session = %s.sid, %attempt, server = *server, "attempt timed out");
+        *cancelled = Some(reason);
+        if reason == CancelReason::TimedOut {
+            increment(&self.stats.timed_out);
+            tracing::info!(session = %session.sid, %attempt, server = *server, "attempt timed out");
         }
-        self.commands.push(Command::Recall { attempt, why });
+        self.commands.push(Command::Cancel { attempt, reason });
     }
 
-    /// Whether that attempt is the one that is out.
-    pub(super) fn is_out(&self, attempt: AttemptId) -> bool {
-        let s = self.sessions.get(&attempt.request);
-        s.is_some_and(|s| matches!(s.phase, Phase::Out { attempt: out, .. } if out == attempt))
+    pub(super) fn is_pending(&self, attempt: AttemptId) -> bool {
+        let session = self.sessions.get(&attempt.request);
+        session.is_some_and(
+            |s| matches!(s.phase, Phase::Attempting { attempt: pending, .. } if pending == attempt),
+        )
     }
 
-    pub(super) fn playing(&mut self, attempt: AttemptId, load: Load, answer: B) {
-        if !self.is_out(attempt) {
-            // Its end is booked already: whatever the server began is closed by dropping the answer, and by
-            // the release that went with that end.
-            count(&self.stats.late_answers);
+    /// Starts the session of an attempt that was answered, and answers all viewers that wait for it.
+    pub(super) fn attempt_succeeded(&mut self, attempt: AttemptId, load: Load, response: B) {
+        if !self.is_pending(attempt) {
+            // The attempt's end was already processed. Dropping the response closes what the server began, and the
+            // release that went with that end reaches the server too.
+            increment(&self.stats.late_answers);
             return;
         }
-        let Some(s) = self.sessions.get_mut(&attempt.request) else { return };
-        // Where it went, whatever the list says by now: an answer counts even if its server has left the list.
-        let Phase::Out { server, address, since, .. } = s.phase else { return };
-        let gone = s.gone;
-        self.out_at.remove(&(server, attempt));
-        count(&self.stats.playing);
-        self.learning.behaved(self.now, server, true, false);
-        self.commands.extend(self.lives.behaved(server, true).map(Command::Keep));
+        let Some(session) = self.sessions.get_mut(&attempt.request) else { return };
+        // The attempt's own server and address: a response counts even if its server has left the list by now.
+        let Phase::Attempting { server, address, started_at, .. } = session.phase else { return };
+        let abandoned = session.abandoned;
+        self.pending_attempts.remove(&(server, attempt));
+        increment(&self.stats.playing);
+        self.knowledge.record_outcome(self.now, server, true, false);
+        self.commands.extend(self.history.record_outcome(server, true).map(Command::Persist));
         let request = attempt.request;
-        self.events.push(Event::Playing(request, attempt.number, server, self.now.saturating_sub(since)));
-        let Some(mut s) = self.sessions.remove(&request) else { return };
-        let route = self.plays(request, &mut s, attempt, server, address);
-        if s.paid {
-            self.lives.ran(&s.sid);
+        self.events.push(Event::Playing(
+            request,
+            attempt.number,
+            server,
+            self.now.saturating_sub(started_at),
+        ));
+        let Some(mut session) = self.sessions.remove(&request) else { return };
+        let route = self.begin_playing(request, &mut session, attempt, server, address);
+        if session.paid {
+            self.history.record_executed(&session.sid);
         }
-        tracing::debug!(session = %s.sid, %attempt, server, rung = s.rung, "plays");
-        let waiting = std::mem::take(&mut s.waiting);
-        let nobody = waiting.is_empty();
-        let mut answer = Some(answer);
-        for w in waiting {
-            let reply = match answer.take_if(|_| w.owner) {
-                Some(answer) => Answer::Stream { route: route.clone(), answer },
+        tracing::debug!(session = %session.sid, %attempt, server, rung = session.rung, "session plays");
+        let waiting = std::mem::take(&mut session.waiting);
+        let is_unwanted = waiting.is_empty();
+        let mut response = Some(response);
+        for waiting_viewer in waiting {
+            let answer = match response.take_if(|_| waiting_viewer.is_owner) {
+                Some(response) => Answer::Stream { route: route.clone(), response },
                 None => Answer::Follow(route.clone()),
             };
-            self.answer(w.viewer, reply);
+            self.answer(waiting_viewer.viewer, answer);
         }
-        self.sessions.insert(request, s);
-        self.reading(request, server, load);
-        if nobody && gone {
-            self.over(request, OverWhy::Quit, Load::default());
+        self.sessions.insert(request, session);
+        self.load_reported(request, server, load);
+        if is_unwanted && abandoned {
+            self.end_session(request, EndReason::Quit, Load::default());
         }
     }
 
+    /// Processes an attempt's end, and reports its outcome to the policy.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd, load: Load) {
-        if !self.is_out(attempt) {
-            return; // the other of two words after a recall
+        if !self.is_pending(attempt) {
+            return; // The second of two reports after a cancellation.
         }
-        let Some(s) = self.sessions.get_mut(&attempt.request) else { return };
-        let Phase::Out { server, address, recalled, .. } = s.phase else { return };
-        self.out_at.remove(&(server, attempt));
-        // Not by why it was recalled: its time may have been up before its viewer went.
-        let left = s.gone;
-        let outcome = match (end, recalled) {
+        let Some(session) = self.sessions.get_mut(&attempt.request) else { return };
+        let Phase::Attempting { server, address, cancelled, .. } = session.phase else { return };
+        self.pending_attempts.remove(&(server, attempt));
+        // Not derived from the reason of the cancellation: the attempt may have timed out before its viewer left.
+        let abandoned = session.abandoned;
+        let outcome = match (end, cancelled) {
             (AttemptEnd::NotConnected, _) => Outcome::ConnectFailed,
             (AttemptEnd::Full, _) => Outcome::Full,
             (AttemptEnd::Error { .. }, _) => Outcome::Error,
             (AttemptEnd::Reset, _) => Outcome::Reset,
-            // Time ran out before a connection was made: it never ran, and the server is out of reach.
-            (AttemptEnd::NeverSent, Some(RecallWhy::TimedOut)) => Outcome::ConnectFailed,
-            (AttemptEnd::NeverSent | AttemptEnd::NotKept, _) => Outcome::Moot,
-            (AttemptEnd::Unanswered, Some(RecallWhy::HungUp)) => Outcome::Cancelled,
+            // The attempt timed out before a connection was made: it never ran, and the server is unreachable.
+            (AttemptEnd::NeverSent, Some(CancelReason::TimedOut)) => Outcome::ConnectFailed,
+            (AttemptEnd::NeverSent | AttemptEnd::NotPersisted, _) => Outcome::Moot,
+            (AttemptEnd::Unanswered, Some(CancelReason::Disconnected)) => Outcome::Cancelled,
             (AttemptEnd::Unanswered, _) => Outcome::Timeout,
         };
         match outcome {
-            Outcome::Error => self.learning.behaved(self.now, server, false, false),
+            Outcome::Error => self.knowledge.record_outcome(self.now, server, false, false),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => {
-                self.learning.behaved(self.now, server, false, outcome != Outcome::Timeout);
-                self.commands.extend(self.lives.behaved(server, false).map(Command::Keep));
+                self.knowledge.record_outcome(self.now, server, false, outcome != Outcome::Timeout);
+                self.commands.extend(self.history.record_outcome(server, false).map(Command::Persist));
             }
             _ => {}
         }
         if outcome == Outcome::Moot {
-            count(&self.stats.recalled_unsent);
+            increment(&self.stats.cancelled_unsent);
         }
-        tracing::info!(session = %s.sid, %attempt, server, ?end, "attempt ended");
-        s.phase = Phase::Deciding;
-        s.not_kept |= end == AttemptEnd::NotKept;
+        tracing::info!(session = %session.sid, %attempt, server, ?end, "attempt ended");
+        session.phase = Phase::Deciding;
+        session.not_persisted |= end == AttemptEnd::NotPersisted;
         if !outcome.never_ran() {
-            s.ran = Some(end);
-            if s.paid {
-                self.lives.ran(&s.sid);
+            session.possibly_executed_end = Some(end);
+            if session.paid {
+                self.history.record_executed(&session.sid);
             }
-            // It may hold the session all the same.
-            self.commands.push(Command::Release { address, server, sid: s.sid.clone() });
-        } else if s.paid && s.ran.is_none() && end != AttemptEnd::NotKept {
-            self.commands.push(Command::Keep(Deed::Unrun { sid: digest(&s.sid) }));
+            // The server may hold the session in spite of the attempt's end.
+            self.commands.push(Command::Release { address, server, sid: session.sid.clone() });
+        } else if session.paid && session.possibly_executed_end.is_none() && end != AttemptEnd::NotPersisted {
+            self.commands.push(Command::Persist(Deed::Unrun { sid: digest(&session.sid) }));
         }
-        let ended = Event::Ended(attempt.request, attempt.number, server, outcome, left, load.report());
+        let ended = Event::Ended(attempt.request, attempt.number, server, outcome, abandoned, load.report());
         self.events.push(ended);
-        if left {
-            let (waiting, paid_ran) = (std::mem::take(&mut s.waiting), s.paid && s.ran.is_some());
-            self.forget(attempt.request);
-            self.ask_anew(waiting, paid_ran);
+        if abandoned {
+            let (waiting, paid_executed) = (
+                std::mem::take(&mut session.waiting),
+                session.paid && session.possibly_executed_end.is_some(),
+            );
+            self.remove_session(attempt.request);
+            self.resubmit(waiting, paid_executed);
         }
     }
 }
--- a/crates/session/src/core/check.rs
+++ b/crates/session/src/core/check.rs
@@ -1,147 +1,186 @@
-//! What holds between any two steps, whatever comes in; looked at in tests, and in a build with feature `invariants`.
+//! Check of the core's invariants, which hold between any two steps. Run by tests and in builds with feature
+//! `invariants`.
 
 use super::Core;
-use crate::broken::{hold, Broken, MOST_ATTEMPTS};
-use crate::held::{Phase, Session};
+use crate::invariants::{ensure, InvariantViolation, MAX_ATTEMPTS};
 use crate::policy::Policy;
-use crate::timers::Due;
+use crate::session_state::{Phase, Session};
+use crate::timers::Timer;
 use crate::types::*;
 use cloverhollow::RequestId;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A session whose time is over is answered in the step that sees it; whoever decides may come so much later.
-const OVERDUE: Duration = Duration::from_secs(1);
+/// Longest time that a session may stay undecided after its deadline. The core answers in the step that sees the
+/// deadline, but the policy may act later.
+const MAX_OVERDUE: Duration = Duration::from_secs(1);
 
-/// What a walk over all sessions adds up to.
+/// Totals over all sessions.
 #[derive(Default)]
-struct Sum {
+struct Totals {
     playing: usize,
-    out: usize,
+    pending: usize,
     waiting: usize,
     viewers: BTreeSet<ViewerId>,
 }
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
-    /// Whether all that holds between two steps holds: names, routes, attempts out, timers, who waits and what is owed,
-    /// bounds. The time it takes grows as the number of sessions and timers.
+    /// Checks the invariants that hold between two steps: names, routes, pending attempts, timers, waiting viewers
+    /// and pending answers, and bounds. Takes time in proportion to the number of sessions and timers.
     ///
     /// # Errors
-    /// The first invariant that is broken.
-    pub fn check(&self) -> Result<(), Broken> {
-        let (held, most) = (self.sessions.len(), self.terms.most);
-        hold(held <= most, || Broken::Sessions { held, most })?;
-        hold(self.by_sid.len() == held, || Broken::Names { named: self.by_sid.len(), held })?;
-        let (mut timed, mut idle) = (BTreeSet::new(), BTreeSet::new());
-        for due in self.timers.armed() {
-            match due {
-                Due::Attempt(attempt) => _ = timed.insert(*attempt),
-                Due::Idle(request) => _ = idle.insert(*request),
-                Due::Policy(_) | Due::Viewer(..) => {}
+    /// The first invariant found to be violated.
+    pub fn check(&self) -> Result<(), InvariantViolation> {
+        let (held, max) = (self.sessions.len(), self.config.max_sessions);
+        ensure(held <= max, || InvariantViolation::SessionBound { held, max })?;
+        ensure(self.by_sid.len() == held, || InvariantViolation::NameCount {
+            named: self.by_sid.len(),
+            held,
+        })?;
+        let (mut attempt_timers, mut idle_timers) = (BTreeSet::new(), BTreeSet::new());
+        for timer in self.timers.armed() {
+            match timer {
+                Timer::Attempt(attempt) => _ = attempt_timers.insert(*attempt),
+                Timer::Idle(request) => _ = idle_timers.insert(*request),
+                Timer::Policy(_) | Timer::Viewer(..) => {}
             }
         }
-        let mut sum = Sum::default();
-        for (request, s) in &self.sessions {
-            self.check_session(*request, s)?;
-            self.check_waiting(s, &mut sum)?;
-            match &s.phase {
+        let mut totals = Totals::default();
+        for (request, session) in &self.sessions {
+            self.check_session(*request, session)?;
+            self.check_waiting(session, &mut totals)?;
+            match &session.phase {
                 Phase::Deciding => {}
-                Phase::Out { .. } => {
-                    sum.out += 1;
-                    self.check_out(s, &timed)?;
+                Phase::Attempting { .. } => {
+                    totals.pending += 1;
+                    self.check_attempting(session, &attempt_timers)?;
                 }
                 Phase::Playing { .. } => {
-                    sum.playing += 1;
-                    let watched = self.terms.idle.is_none() || idle.contains(request);
-                    hold(watched, || Broken::NoIdle { sid: s.sid.clone() })?;
-                    self.check_playing(s)?;
+                    totals.playing += 1;
+                    let is_watched = self.config.idle_timeout.is_none() || idle_timers.contains(request);
+                    ensure(is_watched, || InvariantViolation::NoIdleTimer { sid: session.sid.clone() })?;
+                    self.check_playing(session)?;
                 }
             }
         }
-        let (routes, playing) = (self.routes.len(), sum.playing);
-        hold(routes == playing, || Broken::Routes { routes, playing })?;
-        let (noted, out) = (self.out_at.len(), sum.out);
-        hold(noted == out, || Broken::Outs { noted, out })?;
-        let (owed, waiting) = (self.owed, sum.waiting);
-        hold(owed == waiting, || Broken::Owed { owed, waiting })?;
-        self.check_kept()
+        let (routes, playing) = (self.routes.len(), totals.playing);
+        ensure(routes == playing, || InvariantViolation::RouteCount { routes, playing })?;
+        let (recorded, pending) = (self.pending_attempts.len(), totals.pending);
+        ensure(recorded == pending, || InvariantViolation::PendingCount { recorded, pending })?;
+        let (pending, waiting) = (self.pending_answers, totals.waiting);
+        ensure(pending == waiting, || InvariantViolation::PendingAnswers { pending, waiting })?;
+        self.check_other_state()
     }
 
-    fn check_session(&self, request: RequestId, s: &Session<A>) -> Result<(), Broken> {
-        let sid = || s.sid.clone();
+    fn check_session(&self, request: RequestId, session: &Session<A>) -> Result<(), InvariantViolation> {
+        let sid = || session.sid.clone();
         let next = self.next_request;
-        hold(request < next, || Broken::Number { request, next })?;
-        hold(self.by_sid.get(&s.sid) == Some(&request), || Broken::Name { sid: sid() })?;
-        hold(s.sent <= MOST_ATTEMPTS, || Broken::Attempts { sid: sid(), sent: s.sent })?;
-        if let Some(server) = s.at() {
-            hold(self.list.address(server).is_some(), || Broken::Unlisted { sid: sid(), server })?;
+        ensure(request < next, || InvariantViolation::RequestNumber { request, next })?;
+        ensure(self.by_sid.get(&session.sid) == Some(&request), || InvariantViolation::NameLookup {
+            sid: sid(),
+        })?;
+        ensure(session.attempts <= MAX_ATTEMPTS, || InvariantViolation::AttemptBound {
+            sid: sid(),
+            begun: session.attempts,
+        })?;
+        if let Some(server) = session.server() {
+            ensure(self.list.address(server).is_some(), || InvariantViolation::UnlistedServer {
+                sid: sid(),
+                server,
+            })?;
         }
-        let ran = s.ran.is_some() || matches!(s.phase, Phase::Playing { .. });
-        let kept = !(s.paid && ran) || self.lives.remembers_paid(&s.sid);
-        hold(kept, || Broken::PaidForgotten { sid: sid() })?;
-        // What the module was told in this instant it may still act on.
-        let late = self.now.saturating_sub(s.deadline);
-        let decided = !matches!(s.phase, Phase::Deciding) || late <= OVERDUE || !self.events.is_empty();
-        hold(decided, || Broken::Overdue { sid: sid(), late, waiting: s.waiting.len() })
+        let may_have_run =
+            session.possibly_executed_end.is_some() || matches!(session.phase, Phase::Playing { .. });
+        let is_remembered = !(session.paid && may_have_run) || self.history.remembers_paid(&session.sid);
+        ensure(is_remembered, || InvariantViolation::PaidForgotten { sid: sid() })?;
+        // The policy may still act on the events of this instant.
+        let late = self.now.saturating_sub(session.deadline);
+        let in_time =
+            !matches!(session.phase, Phase::Deciding) || late <= MAX_OVERDUE || !self.events.is_empty();
+        ensure(in_time, || InvariantViolation::Overdue { sid: sid(), late, waiting: session.waiting.len() })
     }
 
-    fn check_waiting(&self, s: &Session<A>, sum: &mut Sum) -> Result<(), Broken> {
-        let sid = || s.sid.clone();
-        // The first one needs no room.
-        let (waiting, most) = (s.waiting.len(), self.terms.waiting.max(1));
-        hold(waiting <= most, || Broken::Waiting { sid: sid(), waiting, most })?;
-        let owners = s.waiting.iter().filter(|w| w.owner).count();
-        hold(owners <= 1, || Broken::Owners { sid: sid(), owners })?;
-        for w in &s.waiting {
-            let viewer = w.viewer;
-            let plays = matches!(s.phase, Phase::Playing { .. });
-            hold(!plays, || Broken::WaitsAtPlaying { sid: sid(), viewer })?;
-            hold(sum.viewers.insert(viewer), || Broken::WaitsTwice { sid: sid(), viewer })?;
+    fn check_waiting(&self, session: &Session<A>, totals: &mut Totals) -> Result<(), InvariantViolation> {
+        let sid = || session.sid.clone();
+        // The first viewer waits even where the configured maximum is zero.
+        let (waiting, max) = (session.waiting.len(), self.config.max_waiting.max(1));
+        ensure(waiting <= max, || InvariantViolation::WaitingBound { sid: sid(), waiting, max })?;
+        let owners = session.waiting.iter().filter(|w| w.is_owner).count();
+        ensure(owners <= 1, || InvariantViolation::OwnerCount { sid: sid(), owners })?;
+        for waiting_viewer in &session.waiting {
+            let viewer = waiting_viewer.viewer;
+            let plays = matches!(session.phase, Phase::Playing { .. });
+            ensure(!plays, || InvariantViolation::WaitsForPlaying { sid: sid(), viewer })?;
+            ensure(totals.viewers.insert(viewer), || InvariantViolation::WaitsTwice { sid: sid(), viewer })?;
         }
-        sum.waiting += waiting;
-        let left = matches!(s.phase, Phase::Out { recalled: Some(r), .. } if r != RecallWhy::Drained);
-        let wanted = waiting > 0 || matches!(s.phase, Phase::Playing { .. }) || left;
-        hold(wanted, || Broken::ForNobody { sid: sid() })
+        totals.waiting += waiting;
+        let is_cancelled = matches!(session.phase, Phase::Attempting { cancelled: Some(r), .. } if r != CancelReason::Drained);
+        let is_needed = waiting > 0 || matches!(session.phase, Phase::Playing { .. }) || is_cancelled;
+        ensure(is_needed, || InvariantViolation::Orphaned { sid: sid() })
     }
 
-    fn check_out(&self, s: &Session<A>, timed: &BTreeSet<AttemptId>) -> Result<(), Broken> {
-        let Phase::Out { attempt, server, since, recalled, .. } = s.phase else { return Ok(()) };
-        let sid = || s.sid.clone();
-        hold(self.out_at.contains(&(server, attempt)), || Broken::Out { attempt, server })?;
-        let last = attempt.number + 1 == s.sent;
-        hold(last, || Broken::Attempt { sid: sid(), attempt, sent: s.sent })?;
-        hold(!(s.paid && s.ran.is_some()), || Broken::PaidTwice { sid: sid(), attempt })?;
+    fn check_attempting(
+        &self,
+        session: &Session<A>,
+        attempt_timers: &BTreeSet<AttemptId>,
+    ) -> Result<(), InvariantViolation> {
+        let Phase::Attempting { attempt, server, started_at, cancelled, .. } = session.phase else {
+            return Ok(());
+        };
+        let sid = || session.sid.clone();
+        ensure(self.pending_attempts.contains(&(server, attempt)), || {
+            InvariantViolation::UnrecordedAttempt { attempt, server }
+        })?;
+        let is_last = attempt.number + 1 == session.attempts;
+        ensure(is_last, || InvariantViolation::NotLastAttempt {
+            sid: sid(),
+            attempt,
+            begun: session.attempts,
+        })?;
+        ensure(!(session.paid && session.possibly_executed_end.is_some()), || {
+            InvariantViolation::PaidTwice { sid: sid(), attempt }
+        })?;
         let now = self.now;
-        hold(since <= now, || Broken::Time { attempt, since, now })?;
-        let drained = recalled.is_none() && !self.list.serves(server);
-        hold(!drained, || Broken::Drain { attempt, server })?;
-        // One that was recalled is owed the shell's word.
-        let ends = timed.contains(&attempt) || recalled.is_some_and(|r| r != RecallWhy::Drained);
-        hold(ends, || Broken::NoTimer { attempt })
+        ensure(started_at <= now, || InvariantViolation::StartInFuture { attempt, started_at, now })?;
+        let is_at_stopped = cancelled.is_none() && !self.list.is_serving(server);
+        ensure(!is_at_stopped, || InvariantViolation::PendingAtStopped { attempt, server })?;
+        // The caller reports the end of a cancelled attempt, so that one needs no timer.
+        let has_end =
+            attempt_timers.contains(&attempt) || cancelled.is_some_and(|r| r != CancelReason::Drained);
+        ensure(has_end, || InvariantViolation::NoAttemptTimer { attempt })
     }
 
-    fn check_playing(&self, s: &Session<A>) -> Result<(), Broken> {
-        let Phase::Playing { attempt, route } = &s.phase else { return Ok(()) };
-        let sid = || s.sid.clone();
-        let routed = self.routes.get(&s.sid).is_some_and(|r| Arc::ptr_eq(&r, route));
-        hold(routed, || Broken::Route { sid: sid() })?;
-        hold(route.rung() == s.rung, || Broken::Rung { sid: sid(), rung: s.rung })?;
-        let (attempt, sent) = (*attempt, s.sent);
-        hold(attempt.number + 1 == sent, || Broken::Attempt { sid: sid(), attempt, sent })
+    fn check_playing(&self, session: &Session<A>) -> Result<(), InvariantViolation> {
+        let Phase::Playing { attempt, route } = &session.phase else { return Ok(()) };
+        let sid = || session.sid.clone();
+        let is_routed = self.routes.get(&session.sid).is_some_and(|r| Arc::ptr_eq(&r, route));
+        ensure(is_routed, || InvariantViolation::RouteLookup { sid: sid() })?;
+        ensure(route.rung() == session.rung, || InvariantViolation::RungMismatch {
+            sid: sid(),
+            rung: session.rung,
+        })?;
+        let (attempt, begun) = (*attempt, session.attempts);
+        ensure(attempt.number + 1 == begun, || InvariantViolation::NotLastAttempt {
+            sid: sid(),
+            attempt,
+            begun,
+        })
     }
 
-    /// What is kept beside the sessions.
-    fn check_kept(&self) -> Result<(), Broken> {
+    /// Checks the state that does not belong to a session.
+    fn check_other_state(&self) -> Result<(), InvariantViolation> {
         let now = self.now;
-        let at = self.timers.first().unwrap_or(now);
-        hold(at >= now, || Broken::Overslept { at, now })?;
+        let deadline = self.timers.first_deadline().unwrap_or(now);
+        ensure(deadline >= now, || InvariantViolation::MissedTimer { deadline, now })?;
         self.list.check(self.sessions.len())?;
-        for server in self.gauges.keys().copied() {
-            hold(self.list.address(server).is_some(), || Broken::Gauge { server })?;
+        for server in self.report_throttles.keys().copied() {
+            ensure(self.list.address(server).is_some(), || InvariantViolation::UnlistedThrottle { server })?;
         }
-        self.lives.check()?;
-        self.learning.check()?;
-        hold(self.commands.is_empty(), || Broken::Commands { left: self.commands.len() })
+        self.history.check()?;
+        self.knowledge.check()?;
+        ensure(self.commands.is_empty(), || InvariantViolation::UnreturnedCommands {
+            left: self.commands.len(),
+        })
     }
 }
--- a/crates/session/src/core/inputs.rs
+++ b/crates/session/src/core/inputs.rs
@@ -1,91 +1,106 @@
-//! What comes in, and what is due.
+//! Handling of inputs and of timers that fire.
 
 use super::Core;
-use crate::held::{Phase, Session};
 use crate::policy::Policy;
-use crate::timers::Due;
+use crate::session_state::{Phase, Session};
+use crate::timers::Timer;
 use crate::types::*;
 use cloverhollow::{Before, Event};
 use cloverhollow_recovery::{Recovered, Trust};
 use std::time::Duration;
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
-    pub(super) fn take(&mut self, input: Input<A, B>) {
+    pub(super) fn process_input(&mut self, input: Input<A, B>) {
         match input {
             Input::Arrived(arrival) => self.arrived(arrival),
-            Input::HungUp { viewer, sid } => self.hung_up(viewer, &sid),
-            Input::Playing { attempt, load, answer } => self.playing(attempt, load, answer),
+            Input::Disconnected { viewer, sid } => self.disconnected(viewer, &sid),
+            Input::Playing { attempt, load, response } => self.attempt_succeeded(attempt, load, response),
             Input::AttemptEnded { attempt, end, load } => self.attempt_ended(attempt, end, load),
-            Input::Reading { request, server, load } => self.reading(request, server, load),
-            Input::Lost { request } => self.over(request, OverWhy::Lost, Load::default()),
-            Input::Over { sid, why, load } => {
+            Input::LoadReport { request, server, load } => self.load_reported(request, server, load),
+            Input::SessionLost { request } => self.end_session(request, EndReason::Lost, Load::default()),
+            Input::SessionEnded { sid, reason, load } => {
                 if let Some(request) = self.by_sid.get(&sid).copied() {
-                    self.over(request, why, load);
+                    self.end_session(request, reason, load);
                 }
             }
-            Input::Adopted { arrival, server } => self.adopted(arrival, server),
-            Input::Note { sid, note } => self.note(&sid, note),
-            Input::List(news) => self.news(news),
-            Input::Told { peer, asked_at, nonce, message } => {
-                let merged = self.learning.merge(self.now, asked_at, nonce, &message);
-                let outcome = merged.map(|(heard, said)| {
-                    self.events.extend(heard.into_iter().map(Event::Heard));
-                    said
+            Input::Adopted { arrival, server } => self.adopt(arrival, server),
+            Input::SessionReport { sid, report } => self.session_reported(&sid, report),
+            Input::ListUpdate(update) => self.update_list(update),
+            Input::PeerMessage { peer, requested_at, nonce, message } => {
+                let merged = self.knowledge.merge(self.now, requested_at, nonce, &message);
+                let outcome = merged.map(|(reports, status)| {
+                    self.events.extend(reports.into_iter().map(Event::Heard));
+                    status
                 });
                 if let Err(error) = outcome {
-                    tracing::warn!(%peer, %error, "a peer's word is not taken");
+                    tracing::warn!(%peer, %error, "knowledge message of a peer rejected");
                 }
-                self.commands.push(Command::Merged { peer, outcome });
+                self.commands.push(Command::KnowledgeMerged { peer, outcome });
             }
-            Input::Clock(ahead) => self.events.push(Event::Clock(ahead)),
-            Input::Heard(heard) => self.events.push(Event::Heard(heard)),
-            Input::Counted { fronts } => self.events.push(Event::Counted { fronts }),
-            Input::Recovered(recovered) => self.recovered(*recovered),
-            Input::Remembered(message) => {
-                let heard = self.learning.remember(self.now, &message);
-                self.events.extend(heard.into_iter().map(Event::Heard));
+            Input::ClockOffset(offset) => self.events.push(Event::Clock(offset)),
+            Input::PeerReport(report) => self.events.push(Event::Heard(report)),
+            Input::FleetSize { fronts } => self.events.push(Event::Counted { fronts }),
+            Input::Recovered(recovered) => self.restore_history(*recovered),
+            Input::PersistedKnowledge(message) => {
+                let reports = self.knowledge.restore(self.now, &message);
+                self.events.extend(reports.into_iter().map(Event::Heard));
             }
         }
     }
 
-    pub(super) fn fire(&mut self, due: Due) {
-        match due {
-            Due::Policy(token) => self.events.push(Event::Timer(token)),
-            Due::Attempt(attempt) => self.recall(attempt, RecallWhy::TimedOut),
-            Due::Viewer(sid, viewer) => {
-                let answer = Answer::Failed { late: true, reason: Reason::TimeUp };
-                if self.stop_waiting(viewer, &sid) {
+    pub(super) fn fire(&mut self, timer: Timer) {
+        match timer {
+            Timer::Policy(token) => self.events.push(Event::Timer(token)),
+            Timer::Attempt(attempt) => self.cancel(attempt, CancelReason::TimedOut),
+            Timer::Viewer(sid, viewer) => {
+                let answer = Answer::Failed { timed_out: true, reason: RejectReason::DeadlineExceeded };
+                if self.remove_waiting(viewer, &sid) {
                     self.answer(viewer, answer);
-                    self.nobody_waits(&sid);
+                    self.abandon_if_unwanted(&sid);
                 }
             }
-            Due::Idle(request) => {
+            Timer::Idle(request) => {
                 let Some(Session { phase: Phase::Playing { route, .. }, .. }) = self.sessions.get(&request)
                 else {
                     return;
                 };
-                let Some(idle) = self.terms.idle else { return };
-                let seen = if route.is_fetching() { self.now } else { route.seen() };
-                let until = seen + idle;
-                if until <= self.now {
-                    self.over(request, OverWhy::Idle, Load::default());
+                let Some(idle_timeout) = self.config.idle_timeout else { return };
+                let last_activity = if route.is_fetching() { self.now } else { route.last_activity() };
+                let deadline = last_activity + idle_timeout;
+                if deadline <= self.now {
+                    self.end_session(request, EndReason::Idle, Load::default());
                 } else {
-                    self.timers.arm(until, Due::Idle(request));
+                    self.timers.arm(deadline, Timer::Idle(request));
                 }
             }
         }
     }
 
-    /// What earlier lives did, as far as it is proven. What is not proven counts as done.
-    fn recovered(&mut self, mut r: Recovered) {
-        let (paid, stopped) = (r.paid.iter().len(), r.stopped.len());
-        tracing::info!(proven = r.trust.words(), paid, stopped, "this front ran before");
-        let waits = self.terms.classes.iter().filter(|c| c.paid).map(|c| c.deadline);
-        self.lives.recovered(self.now, &mut r, waits.max().unwrap_or_default());
-        let ran = (r.trust != Trust::First).then_some(Duration::ZERO);
-        // A front that keeps nothing has no list but what discovery tells it from now on.
-        let doubts = !matches!(r.trust, Trust::First | Trust::Unkept);
-        let late = self.terms.memory.as_ref().filter(|_| doubts).map_or(Duration::ZERO, |m| m.list_late);
-        self.events.push(Event::Before(Before { further: r.further, known: r.known, ran, late }));
+    /// Restores what is proven of earlier incarnations. What is not proven counts as having happened.
+    fn restore_history(&mut self, mut recovered: Recovered) {
+        let (paid, stopped) = (recovered.paid.iter().len(), recovered.stopped.len());
+        tracing::info!(
+            proven = recovered.trust.words(),
+            paid,
+            stopped,
+            "earlier incarnation of this front found"
+        );
+        let paid_deadlines = self.config.classes.iter().filter(|c| c.paid).map(|c| c.deadline);
+        self.history.restore(self.now, &mut recovered, paid_deadlines.max().unwrap_or_default());
+        let ran = (recovered.trust != Trust::First).then_some(Duration::ZERO);
+        // A front without persistence starts with an empty list, so no entry on it can be out of date.
+        let list_may_be_stale = !matches!(recovered.trust, Trust::First | Trust::Unkept);
+        let late = self
+            .config
+            .persistence
+            .as_ref()
+            .filter(|_| list_may_be_stale)
+            .map_or(Duration::ZERO, |p| p.max_list_delay);
+        self.events.push(Event::Before(Before {
+            further: recovered.further,
+            known: recovered.known,
+            ran,
+            late,
+        }));
     }
 }
--- a/crates/session/src/core/mod.rs
+++ b/crates/session/src/core/mod.rs
@@ -1,22 +1,22 @@
-//! The state machine of all sessions of one front.
+//! State machine of all sessions of one front.
 
 mod actions;
 mod attempts;
 mod check;
 mod inputs;
-mod list_news;
+mod list_updates;
 mod playing;
 mod viewers;
 
-use crate::gauge::Gauge;
-use crate::held::Session;
-use crate::learn::{Learning, Shelf};
+use crate::config::CoreConfig;
+use crate::history::FrontHistory;
+use crate::knowledge::{KnowledgeExchange, SnapshotCell};
 use crate::list::{SavedList, ServerList};
-use crate::lives::Lives;
 use crate::policy::Policy;
+use crate::report_throttle::ReportThrottle;
 use crate::routes::Routes;
+use crate::session_state::Session;
 use crate::stats::Stats;
-use crate::terms::Terms;
 use crate::timers::Timers;
 use crate::types::*;
 use cloverhollow::{Action, Event, RequestId, ServerId};
@@ -24,164 +24,170 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the module is asked again within one instant, for actions that end in that instant. Each such
-/// round uses up an attempt, of which the settings allow 16 at most.
-const MOST_ROUNDS: usize = 20;
+/// Maximum number of times that the policy is stepped in one instant, for actions that end in that instant. Each
+/// round uses up an attempt, and the settings allow at most 16 attempts.
+const MAX_POLICY_ROUNDS: usize = 20;
 
-/// Called with each step of the decision module: the time, its events, its actions.
-pub type Tap = Box<dyn FnMut(Duration, &[Event], &[Action]) + Send>;
+/// Callback that receives each step of the policy: the time, its events and its actions.
+pub type StepObserver = Box<dyn FnMut(Duration, &[Event], &[Action]) + Send>;
 
-/// One front's sessions. See the crate's page.
+/// All sessions of one front. The crate's documentation describes how a request passes through it.
 pub struct Core<P, A, B> {
     policy: P,
-    terms: Terms,
+    config: CoreConfig,
     routes: Arc<Routes>,
     stats: Arc<Stats>,
-    tap: Option<Tap>,
+    step_observer: Option<StepObserver>,
     now: Duration,
     next_request: RequestId,
     sessions: BTreeMap<RequestId, Session<A>>,
-    by_sid: HashMap<Sid, RequestId>,
-    /// Attempts whose first byte may still be held back, by server.
-    out_at: BTreeSet<(ServerId, AttemptId)>,
+    by_sid: HashMap<SessionId, RequestId>,
+    /// Attempts that have neither been answered nor ended, by server.
+    pending_attempts: BTreeSet<(ServerId, AttemptId)>,
     list: ServerList,
-    gauges: HashMap<ServerId, Arc<Gauge>>,
-    lives: Lives,
-    learning: Learning,
+    report_throttles: HashMap<ServerId, Arc<ReportThrottle>>,
+    history: FrontHistory,
+    knowledge: KnowledgeExchange,
     timers: Timers,
+    /// Events for the next step of the policy.
     events: Vec<Event>,
+    /// Commands not yet returned to the caller.
     commands: Vec<Command<A, B>>,
-    /// Requests that came and have neither been answered nor hung up.
-    owed: usize,
+    /// Number of requests that have neither been answered nor abandoned by their viewer.
+    pending_answers: usize,
 }
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
-    /// A front that knows no server yet. `incarnation`: a number that no other start of it has.
-    pub fn new(policy: P, terms: impl Into<Terms>, incarnation: u64) -> Self {
-        let terms = terms.into();
+    /// Creates a core that knows no server yet. `incarnation` must differ from that of every other start of this
+    /// front.
+    pub fn new(policy: P, config: impl Into<CoreConfig>, incarnation: u64) -> Self {
+        let config = config.into();
         Core {
             policy,
             routes: Arc::new(Routes::default()),
             stats: Arc::new(Stats::default()),
-            tap: None,
+            step_observer: None,
             now: Duration::ZERO,
             next_request: 1,
             sessions: BTreeMap::new(),
             by_sid: HashMap::new(),
-            out_at: BTreeSet::new(),
+            pending_attempts: BTreeSet::new(),
             list: ServerList::default(),
-            gauges: HashMap::new(),
-            lives: Lives::new(terms.memory.as_ref()),
-            learning: Learning::new(terms.memory.as_ref(), incarnation),
+            report_throttles: HashMap::new(),
+            history: FrontHistory::new(config.persistence.as_ref()),
+            knowledge: KnowledgeExchange::new(config.persistence.as_ref(), incarnation),
             timers: Timers::default(),
             events: Vec::new(),
             commands: Vec::new(),
-            owed: 0,
-            terms,
+            pending_answers: 0,
+            config,
         }
     }
 
-    /// Has each step of the module told to `tap`.
-    pub fn set_tap(&mut self, tap: Tap) {
-        self.tap = Some(tap);
+    /// Sets the callback that receives each step of the policy.
+    pub fn set_step_observer(&mut self, observer: StepObserver) {
+        self.step_observer = Some(observer);
     }
 
-    /// Where playing sessions go.
+    /// Routes of playing sessions.
     pub fn routes(&self) -> Arc<Routes> {
         self.routes.clone()
     }
 
-    /// What this front knows of servers, for its peers.
-    pub fn shelf(&self) -> Arc<Shelf> {
-        self.learning.shelf()
+    /// Snapshot of this front's knowledge of servers, for its peers.
+    pub fn knowledge_snapshot(&self) -> Arc<SnapshotCell> {
+        self.knowledge.snapshot()
     }
 
-    /// Counts for operators.
+    /// Counters for operators.
     pub fn stats(&self) -> Arc<Stats> {
         self.stats.clone()
     }
 
-    /// The list to be kept on disk.
+    /// Copy of the server list to persist.
     pub fn saved_list(&self) -> SavedList {
-        self.list.save(self.now)
+        self.list.to_saved(self.now)
     }
 
-    /// The server list.
-    pub fn list(&self) -> &ServerList {
+    /// Current server list.
+    pub fn server_list(&self) -> &ServerList {
         &self.list
     }
 
-    /// Sessions held, those being set up among them.
-    pub fn held(&self) -> usize {
+    /// Number of sessions held, those being set up included.
+    pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// How much is kept of what comes and goes.
-    pub fn kept(&self) -> Kept {
-        Kept {
+    /// Numbers of items held, to detect leaks.
+    pub fn retained_counts(&self) -> RetainedCounts {
+        RetainedCounts {
             servers: self.list.len(),
-            gauges: self.gauges.len(),
+            report_throttles: self.report_throttles.len(),
             sessions: self.sessions.len(),
             timers: self.timers.len(),
         }
     }
 
-    /// When [`Core::step`] must be called next though nothing has come in.
-    pub fn next_due(&self) -> Option<Duration> {
+    /// Time at which [`Core::step`] must be called next if no input arrives before. `None` if no timer is armed.
+    pub fn next_deadline(&self) -> Option<Duration> {
         if self.events.is_empty() {
-            self.timers.first()
+            self.timers.first_deadline()
         } else {
             Some(self.now)
         }
     }
 
-    /// Takes all that has come in by one instant, in order of arrival, and what is due; gives what to do.
+    /// Processes all inputs of one instant in order of arrival, then the timers that are due, and returns the
+    /// commands to carry out.
     ///
-    /// Inputs go before timers: an answer that came in the same instant as its time-out counts.
+    /// Inputs go before timers: an answer that arrives in the same instant as its time-out counts.
     pub fn step(
         &mut self,
         now: Duration,
         inputs: impl IntoIterator<Item = Input<A, B>>,
     ) -> Vec<Command<A, B>> {
-        let mut commands = self.take_in(now, inputs);
+        let mut commands = self.process_inputs(now, inputs);
         commands.extend(self.decide());
         commands
     }
 
-    /// The first half of a step: what follows from the inputs alone, answers of servers to those who wait for them among it.
-    /// [`Core::decide`] comes next, before anything else is taken in. A shell that carries this out before it has the module
-    /// decide lets no answer wait for what others are decided.
-    pub fn take_in(
+    /// First half of a step: returns the commands that follow from the inputs alone, such as servers' answers to
+    /// waiting viewers.
+    ///
+    /// [`Core::decide`] must be called before any further inputs are processed. A caller that carries these commands
+    /// out first delays no answer by decisions about other sessions.
+    pub fn process_inputs(
         &mut self,
         now: Duration,
         inputs: impl IntoIterator<Item = Input<A, B>>,
     ) -> Vec<Command<A, B>> {
         self.now = self.now.max(now);
         for input in inputs {
-            self.take(input);
+            self.process_input(input);
         }
-        while let Some(due) = self.timers.pop(self.now) {
-            self.fire(due);
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            self.fire(timer);
         }
         std::mem::take(&mut self.commands)
     }
 
-    /// The second half: the module decides, in the instant of the first.
+    /// Second half of a step: runs the policy in the instant of the first half and returns the resulting commands.
     pub fn decide(&mut self) -> Vec<Command<A, B>> {
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_POLICY_ROUNDS {
             if self.events.is_empty() {
                 break;
             }
             let events = std::mem::take(&mut self.events);
             let actions = self.policy.step(self.now, &events);
-            if let Some(tap) = &mut self.tap {
-                tap(self.now, &events, &actions);
+            if let Some(observer) = &mut self.step_observer {
+                observer(self.now, &events, &actions);
             }
             for action in actions {
                 self.act(action);
             }
         }
-        self.learning.publish();
+        self.knowledge.publish();
         std::mem::take(&mut self.commands)
     }
 }
--- a/crates/session/src/core/playing.rs
+++ b/crates/session/src/core/playing.rs
@@ -1,10 +1,10 @@
-//! Sessions that play, until they are over.
+//! Playing sessions, from the first response to the end.
 
 use super::Core;
-use crate::held::{Phase, Session};
 use crate::policy::Policy;
 use crate::routes::Route;
-use crate::timers::Due;
+use crate::session_state::{Phase, Session};
+use crate::timers::Timer;
 use crate::types::*;
 use cloverhollow::{Event, Note, Outcome, RequestId, ServerId};
 use std::net::SocketAddr;
@@ -12,84 +12,85 @@
 use std::sync::Arc;
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
-    /// A session plays from now on: its route, for whoever follows it.
-    pub(super) fn plays(
+    /// Marks a session as playing and publishes its route.
+    pub(super) fn begin_playing(
         &mut self,
         request: RequestId,
-        s: &mut Session<A>,
+        session: &mut Session<A>,
         attempt: AttemptId,
         server: ServerId,
         address: SocketAddr,
     ) -> Arc<Route> {
         let route = Arc::new(Route {
             request,
-            sid: s.sid.clone(),
-            class: s.class,
+            sid: session.sid.clone(),
+            class: session.class,
             server,
             address,
-            gauge: self.gauges.entry(server).or_default().clone(),
-            rates: self.terms.rates[s.class].clone(),
-            rung: AtomicU32::new(s.rung as u32),
-            seen_ms: AtomicU64::new(self.now.as_millis() as u64),
-            fetching: AtomicU32::new(0),
+            report_throttle: self.report_throttles.entry(server).or_default().clone(),
+            rates_kbps: self.config.rates_kbps[session.class].clone(),
+            rung: AtomicU32::new(session.rung as u32),
+            last_activity_ms: AtomicU64::new(self.now.as_millis() as u64),
+            active_fetches: AtomicU32::new(0),
         });
         self.routes.insert(route.clone());
-        s.phase = Phase::Playing { attempt, route: route.clone() };
-        if let Some(idle) = self.terms.idle {
-            self.timers.arm(self.now + idle, Due::Idle(request));
+        session.phase = Phase::Playing { attempt, route: route.clone() };
+        if let Some(idle_timeout) = self.config.idle_timeout {
+            self.timers.arm(self.now + idle_timeout, Timer::Idle(request));
         }
         route
     }
 
-    /// News on a session that plays, as its server told it.
-    pub(super) fn note(&mut self, sid: &Sid, note: Note) {
+    /// Passes a server's report on a session to the policy if the session plays.
+    pub(super) fn session_reported(&mut self, sid: &SessionId, report: Note) {
         let Some(request) = self.by_sid.get(sid).copied() else { return };
         let Some(Session { phase: Phase::Playing { route, .. }, .. }) = self.sessions.get(&request) else {
             return;
         };
-        self.events.push(Event::Note(request, route.server, note));
+        self.events.push(Event::Note(request, route.server, report));
     }
 
-    pub(super) fn reading(&mut self, request: RequestId, server: ServerId, load: Load) {
-        let playing = self
+    pub(super) fn load_reported(&mut self, request: RequestId, server: ServerId, load: Load) {
+        let plays_there = self
             .sessions
             .get(&request)
             .is_some_and(|s| matches!(&s.phase, Phase::Playing { route, .. } if route.server == server));
-        if !playing {
+        if !plays_there {
             return;
         }
-        self.learning.read(self.now, server, load);
-        let notes = [load.share.map(Note::Share), load.rack.map(Note::Rack), load.link.map(Note::Link)];
-        self.events.extend(notes.into_iter().flatten().map(|n| Event::Note(request, server, n)));
+        self.knowledge.record_load(self.now, server, load);
+        let reports = [load.share.map(Note::Share), load.rack.map(Note::Rack), load.link.map(Note::Link)];
+        self.events.extend(reports.into_iter().flatten().map(|r| Event::Note(request, server, r)));
     }
 
-    pub(super) fn over(&mut self, request: RequestId, why: OverWhy, load: Load) {
-        let Some(s) = self.sessions.get(&request) else { return };
-        // While it is being set up, its request gets its own answer first.
-        let Phase::Playing { attempt, route } = &s.phase else { return };
-        let outcome = if why == OverWhy::Lost { Outcome::Reset } else { Outcome::Ok };
-        self.stats.over(why);
-        tracing::debug!(session = %s.sid, server = route.server, ?why, "over");
+    /// Ends a session if it plays. A session that is being set up is left alone: its waiting viewers get their answer
+    /// first.
+    pub(super) fn end_session(&mut self, request: RequestId, reason: EndReason, load: Load) {
+        let Some(session) = self.sessions.get(&request) else { return };
+        let Phase::Playing { attempt, route } = &session.phase else { return };
+        let outcome = if reason == EndReason::Lost { Outcome::Reset } else { Outcome::Ok };
+        self.stats.record_end(reason);
+        tracing::debug!(session = %session.sid, server = route.server, why = ?reason, "session ended");
         let (address, server) = (route.address, route.server);
-        if why == OverWhy::Lost {
-            self.learning.behaved(self.now, server, false, true);
-            self.commands.extend(self.lives.behaved(server, false).map(Command::Keep));
+        if reason == EndReason::Lost {
+            self.knowledge.record_outcome(self.now, server, false, true);
+            self.commands.extend(self.history.record_outcome(server, false).map(Command::Persist));
         }
-        let sid = s.sid.clone();
+        let sid = session.sid.clone();
         self.commands.push(Command::Release { address, server, sid: sid.clone() });
-        self.commands.push(Command::Over { sid, server, why });
+        self.commands.push(Command::SessionEnded { sid, server, reason });
         self.events.push(Event::Ended(request, attempt.number, server, outcome, true, load.report()));
-        self.forget(request);
+        self.remove_session(request);
     }
 
-    pub(super) fn forget(&mut self, request: RequestId) {
-        let Some(s) = self.sessions.remove(&request) else { return };
-        if let Phase::Out { attempt, server, .. } = s.phase {
-            self.out_at.remove(&(server, attempt));
+    pub(super) fn remove_session(&mut self, request: RequestId) {
+        let Some(session) = self.sessions.remove(&request) else { return };
+        if let Phase::Attempting { attempt, server, .. } = session.phase {
+            self.pending_attempts.remove(&(server, attempt));
         }
-        if self.by_sid.get(&s.sid) == Some(&request) {
-            self.by_sid.remove(&s.sid);
-            self.routes.remove(&s.sid);
+        if self.by_sid.get(&session.sid) == Some(&request) {
+            self.by_sid.remove(&session.sid);
+            self.routes.remove(&session.sid);
         }
     }
 }
--- a/crates/session/src/core/viewers.rs
+++ b/crates/session/src/core/viewers.rs
@@ -1,154 +1,168 @@
-//! Who asks for a session, waits for its answer, and hangs up.
+//! Viewers: their requests, their answers, and their disconnects.
 
 use super::Core;
-use crate::held::{Phase, Session, Waiter};
 use crate::policy::Policy;
-use crate::stats::count;
-use crate::timers::Due;
+use crate::session_state::{Phase, Session, WaitingViewer};
+use crate::stats::increment;
+use crate::timers::Timer;
 use crate::types::*;
 use cloverhollow::{Event, RequestId, ServerId};
 use cloverhollow_hints::Contradiction;
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
-    pub(super) fn arrived(&mut self, a: Arrival<A>) {
-        self.owed += 1;
-        self.stats.hints(&a.faults, a.contradictions);
-        self.asks(a);
+    pub(super) fn arrived(&mut self, arrival: Arrival<A>) {
+        self.pending_answers += 1;
+        self.stats.record_hints(&arrival.hint_faults, arrival.hint_contradictions);
+        self.submit(arrival);
     }
 
-    fn asks(&mut self, a: Arrival<A>) {
-        if let Some(request) = self.by_sid.get(&a.sid).copied() {
-            return self.joined(request, a);
+    /// Joins the request to its session if that exists, else rejects it or passes it to the policy as a new session.
+    fn submit(&mut self, arrival: Arrival<A>) {
+        if let Some(request) = self.by_sid.get(&arrival.sid).copied() {
+            return self.join(request, arrival);
         }
-        let class = self.terms.classes[a.class];
-        // Rule 2: it may have run here, in this life or another, or, when the hints say that it plays, at a
-        // front that is gone.
-        let plays = (class.paid && a.underway).then_some(Reason::SetUpBefore);
-        if let Some(reason) = self.lives.bars(self.now, &a.sid, class.paid).or(plays) {
-            return self.answer(a.viewer, Answer::Failed { late: false, reason });
+        let class = self.config.classes[arrival.class];
+        // Rule 2: a paid session may have been executed here, in any incarnation, or, where the hints say that it
+        // plays, at a front that is gone.
+        let plays_elsewhere = (class.paid && arrival.already_playing).then_some(RejectReason::AlreadySetUp);
+        if let Some(reason) = self.history.rejects(self.now, &arrival.sid, class.paid).or(plays_elsewhere) {
+            return self.answer(arrival.viewer, Answer::Failed { timed_out: false, reason });
         }
-        if self.sessions.len() >= self.terms.most {
-            let after = self.terms.hold_off;
-            return self.answer(a.viewer, Answer::Refused { after, reason: Reason::FrontFull });
+        if self.sessions.len() >= self.config.max_sessions {
+            let retry_after = self.config.retry_after;
+            return self
+                .answer(arrival.viewer, Answer::Refused { retry_after, reason: RejectReason::FrontFull });
         }
-        count(&self.stats.calls);
+        increment(&self.stats.calls);
         let request = self.next_request;
         self.next_request += 1;
-        let deadline = self.now + a.patience.saturating_sub(self.terms.margin);
-        self.events.push(Event::Call(a.call(request, deadline)));
-        self.note_hints(&a);
-        self.by_sid.insert(a.sid.clone(), request);
-        let waiting = vec![Waiter { viewer: a.viewer, owner: true, anew: None }];
-        let session = Session { waiting, ..Session::new(a, class.paid, deadline) };
+        let deadline = self.now + arrival.max_wait.saturating_sub(self.config.answer_margin);
+        self.events.push(Event::Call(arrival.call(request, deadline)));
+        self.log_dropped_hints(&arrival);
+        self.by_sid.insert(arrival.sid.clone(), request);
+        let waiting = vec![WaitingViewer { viewer: arrival.viewer, is_owner: true, resubmitted: None }];
+        let session = Session { waiting, ..Session::new(arrival, class.paid, deadline) };
         self.sessions.insert(request, session);
     }
 
-    /// A session that plays already at a server of the list, as an earlier life of this front set it up. No
-    /// answer is owed. One that is held already stays as it is.
-    pub(super) fn adopted(&mut self, a: Arrival<A>, server: ServerId) {
-        let takes = self.sessions.len() < self.terms.most && !self.by_sid.contains_key(&a.sid);
-        let Some(address) = self.list.address(server).filter(|_| takes) else { return };
+    /// Takes over a session that an earlier incarnation of this front set up and that plays at a listed server.
+    ///
+    /// No viewer waits for an answer. A session that is already held stays as it is.
+    pub(super) fn adopt(&mut self, arrival: Arrival<A>, server: ServerId) {
+        let has_room =
+            self.sessions.len() < self.config.max_sessions && !self.by_sid.contains_key(&arrival.sid);
+        let Some(address) = self.list.address(server).filter(|_| has_room) else { return };
         let request = self.next_request;
         self.next_request += 1;
-        self.events.push(Event::Adopted(a.call(request, self.now), server));
-        self.by_sid.insert(a.sid.clone(), request);
-        let paid = self.terms.classes[a.class].paid;
-        let mut s = Session { sent: 1, ..Session::new(a, paid, self.now) };
-        self.plays(request, &mut s, AttemptId { request, number: 0 }, server, address);
-        if s.paid {
-            self.lives.ran(&s.sid);
+        self.events.push(Event::Adopted(arrival.call(request, self.now), server));
+        self.by_sid.insert(arrival.sid.clone(), request);
+        let paid = self.config.classes[arrival.class].paid;
+        let mut session = Session { attempts: 1, ..Session::new(arrival, paid, self.now) };
+        self.begin_playing(request, &mut session, AttemptId { request, number: 0 }, server, address);
+        if session.paid {
+            self.history.record_executed(&session.sid);
         }
-        self.sessions.insert(request, s);
+        self.sessions.insert(request, session);
     }
 
-    /// One line a session for hints that could not be used.
-    pub(super) fn note_hints(&self, a: &Arrival<A>) {
-        if a.faults.total() > 0 || !a.contradictions.is_empty() {
-            let words: Vec<_> = a.contradictions.iter().map(Contradiction::word).collect();
-            tracing::info!(session = %a.sid, dropped = %a.faults, contradicted = words.join(","), "hints dropped");
+    /// Logs hints that could not be used, in one line for each session.
+    pub(super) fn log_dropped_hints(&self, arrival: &Arrival<A>) {
+        if arrival.hint_faults.total() > 0 || !arrival.hint_contradictions.is_empty() {
+            let tokens: Vec<_> = arrival.hint_contradictions.iter().map(Contradiction::word).collect();
+            tracing::info!(
+                session = %arrival.sid,
+                dropped = %arrival.hint_faults,
+                contradicted = tokens.join(","),
+                "hints dropped"
+            );
         }
     }
 
-    /// A further request of a session that is known: it waits along, or follows.
-    pub(super) fn joined(&mut self, request: RequestId, a: Arrival<A>) {
-        let Some(s) = self.sessions.get_mut(&request) else { return };
-        let mut found = a.contradictions;
-        if s.title != a.title || s.class != a.class {
+    /// Handles a further request for a session that is held: the viewer waits for its set-up, or follows its route.
+    pub(super) fn join(&mut self, request: RequestId, arrival: Arrival<A>) {
+        let Some(session) = self.sessions.get_mut(&request) else { return };
+        let mut found = arrival.hint_contradictions;
+        if session.title != arrival.title || session.class != arrival.class {
             found.add(Contradiction::ContentChanged);
         }
-        let new = s.told.learn(found);
-        for c in new.iter() {
-            tracing::info!(session = %s.sid, contradicted = c.word(), "hints dropped");
-            count(&self.stats.contradictions[c as usize]);
+        let new = session.contradictions.learn(found);
+        for contradiction in new.iter() {
+            tracing::info!(session = %session.sid, contradicted = contradiction.word(), "hints dropped");
+            increment(&self.stats.contradictions[contradiction as usize]);
         }
-        let answer = match &s.phase {
+        let answer = match &session.phase {
             Phase::Playing { route, .. } => Answer::Follow(route.clone()),
-            _ if s.waiting.len() >= self.terms.waiting => {
-                let after = self.terms.hold_off;
-                Answer::Refused { after, reason: Reason::TooManyWaiting }
+            _ if session.waiting.len() >= self.config.max_waiting => {
+                let retry_after = self.config.retry_after;
+                Answer::Refused { retry_after, reason: RejectReason::TooManyWaiting }
             }
             _ => {
-                let own = self.now + a.patience.saturating_sub(self.terms.margin);
-                let viewer = a.viewer;
-                // The first one's time is the module's to keep; a further one may have less.
-                if own < s.deadline || s.gone {
-                    self.timers.arm(own, Due::Viewer(s.sid.clone(), viewer));
+                let deadline = self.now + arrival.max_wait.saturating_sub(self.config.answer_margin);
+                let viewer = arrival.viewer;
+                // The policy watches the first viewer's deadline; a viewer that joins may have an earlier one.
+                if deadline < session.deadline || session.abandoned {
+                    self.timers.arm(deadline, Timer::Viewer(session.sid.clone(), viewer));
                 }
-                let anew = s.gone.then(|| (self.now, Box::new(a)));
-                s.waiting.push(Waiter { viewer, owner: false, anew });
+                let resubmitted = session.abandoned.then(|| (self.now, Box::new(arrival)));
+                session.waiting.push(WaitingViewer { viewer, is_owner: false, resubmitted });
                 return;
             }
         };
-        self.answer(a.viewer, answer);
+        self.answer(arrival.viewer, answer);
     }
 
-    /// Those who came after all others had hung up ask anew, now that the attempt has ended. Guards a viewer who closes
-    /// its connection and asks again at once: its request was dropped with the one before, without an answer (rule 1).
-    pub(super) fn ask_anew(&mut self, waiting: Vec<Waiter<A>>, paid_ran: bool) {
-        for w in waiting {
-            match w.anew {
-                Some((since, a)) if !paid_ran => {
-                    let patience = a.patience.saturating_sub(self.now.saturating_sub(since));
-                    self.asks(Arrival { patience, ..*a });
+    /// Submits the requests of viewers that joined an abandoned session, now that its last attempt has ended.
+    ///
+    /// Such a viewer may have closed its connection and asked again at once. Without this its request would be
+    /// dropped with the abandoned session and get no answer (rule 1).
+    pub(super) fn resubmit(&mut self, waiting: Vec<WaitingViewer<A>>, paid_executed: bool) {
+        for waiting_viewer in waiting {
+            match waiting_viewer.resubmitted {
+                Some((since, arrival)) if !paid_executed => {
+                    let max_wait = arrival.max_wait.saturating_sub(self.now.saturating_sub(since));
+                    self.submit(Arrival { max_wait, ..*arrival });
                 }
-                _ => self.answer(w.viewer, Answer::Failed { late: false, reason: Reason::SetUpBefore }),
+                _ => self.answer(
+                    waiting_viewer.viewer,
+                    Answer::Failed { timed_out: false, reason: RejectReason::AlreadySetUp },
+                ),
             }
         }
     }
 
-    /// Takes a viewer off the waiting; whether it was there.
-    pub(super) fn stop_waiting(&mut self, viewer: ViewerId, sid: &Sid) -> bool {
+    /// Removes a viewer from those that wait for a session, and returns whether it was among them.
+    pub(super) fn remove_waiting(&mut self, viewer: ViewerId, sid: &SessionId) -> bool {
         let Some(request) = self.by_sid.get(sid) else { return false };
-        let Some(s) = self.sessions.get_mut(request) else { return false };
-        let before = s.waiting.len();
-        s.waiting.retain(|w| w.viewer != viewer);
-        s.waiting.len() < before
+        let Some(session) = self.sessions.get_mut(request) else { return false };
+        let count_before = session.waiting.len();
+        session.waiting.retain(|w| w.viewer != viewer);
+        session.waiting.len() < count_before
     }
 
-    pub(super) fn hung_up(&mut self, viewer: ViewerId, sid: &Sid) {
-        if !self.stop_waiting(viewer, sid) {
-            return; // it has been answered, or another session has its name by now
+    pub(super) fn disconnected(&mut self, viewer: ViewerId, sid: &SessionId) {
+        if !self.remove_waiting(viewer, sid) {
+            return; // The viewer has been answered, or another session has this name by now.
         }
-        self.owed = self.owed.saturating_sub(1);
-        count(&self.stats.hung_up);
-        self.nobody_waits(sid);
+        self.pending_answers = self.pending_answers.saturating_sub(1);
+        increment(&self.stats.disconnected);
+        self.abandon_if_unwanted(sid);
     }
 
-    /// Lets go of a session that is being set up, where nobody waits for it any more.
-    pub(super) fn nobody_waits(&mut self, sid: &Sid) {
+    /// Gives up a session that is being set up if no viewer waits for it any more.
+    pub(super) fn abandon_if_unwanted(&mut self, sid: &SessionId) {
         let Some(request) = self.by_sid.get(sid).copied() else { return };
-        let Some(s) = self.sessions.get_mut(&request).filter(|s| s.waiting.is_empty()) else { return };
-        match s.phase {
+        let Some(session) = self.sessions.get_mut(&request).filter(|s| s.waiting.is_empty()) else { return };
+        match session.phase {
             Phase::Deciding => {
                 self.events.push(Event::Gone(request));
-                self.forget(request);
+                self.remove_session(request);
             }
-            Phase::Out { attempt, .. } => {
-                if std::mem::replace(&mut s.gone, true) {
-                    return; // one who came after the last one left has left too
+            Phase::Attempting { attempt, .. } => {
+                if std::mem::replace(&mut session.abandoned, true) {
+                    return; // A viewer that joined the abandoned session has disconnected too.
                 }
                 self.events.push(Event::Gone(request));
-                self.recall(attempt, RecallWhy::HungUp);
+                self.cancel(attempt, CancelReason::Disconnected);
             }
             Phase::Playing { .. } => {}
         }
@@ -156,11 +170,11 @@
 
     pub(super) fn answer(&mut self, viewer: ViewerId, answer: Answer<B>) {
         match &answer {
-            Answer::Refused { reason, .. } => count(&self.stats.refused[*reason as usize]),
-            Answer::Failed { reason, .. } => count(&self.stats.failed[*reason as usize]),
+            Answer::Refused { reason, .. } => increment(&self.stats.refused[*reason as usize]),
+            Answer::Failed { reason, .. } => increment(&self.stats.failed[*reason as usize]),
             _ => {}
         }
-        self.owed = self.owed.saturating_sub(1);
+        self.pending_answers = self.pending_answers.saturating_sub(1);
         self.commands.push(Command::Answer { viewer, answer });
     }
 }
--- /dev/null
+++ b/crates/session/src/history.rs
@@ -0,0 +1,194 @@
+//! State that passes between successive incarnations of one front: paid sessions that may have been executed,
+//! servers logged as draining or failed, and sessions that servers may still hold for the previous incarnation.
+
+use crate::config::PersistenceConfig;
+use crate::invariants::{ensure, InvariantViolation};
+use crate::list::{ListUpdate, WireState};
+use crate::types::RejectReason;
+use cloverhollow::{Heard, ListMode, ServerId};
+use cloverhollow_recovery::ledger::{Bounds, Held};
+use cloverhollow_recovery::{digest, Deed, Paid, Recovered};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// History of one front over its incarnations.
+///
+/// Paid sessions are bounded by `max_paid_sessions`, and the oldest are dropped first. All other fields have the
+/// bounds of the log ledger that they are recovered from.
+#[derive(Debug)]
+pub(crate) struct FrontHistory {
+    /// Paid sessions that may have been executed, in this incarnation or an earlier one. None is set up again here.
+    executed_paid: Paid,
+    /// Maximum number of paid sessions remembered. `None` if nothing is passed on between incarnations.
+    max_paid_sessions: Option<usize>,
+    /// Time until which no paid session can be proven to be new.
+    unproven_until: Duration,
+    /// Servers that the log records as accepting no new sessions.
+    stopped: BTreeSet<ServerId>,
+    /// Servers that the log records as failed.
+    failed: BTreeSet<ServerId>,
+    /// Recovered failed servers that the policy has not been told about yet.
+    unreported_failures: BTreeSet<ServerId>,
+    /// Sessions of the previous incarnation that servers may still hold.
+    unreleased: Vec<Held>,
+}
+
+/// Inserts a server into a set that has the bound of the log, and returns whether the server is new.
+///
+/// Servers may stop or fail for good for months, each under an id of its own, so another server is dropped when the
+/// set is full. It may then be logged once more, and the log keeps the record of it; both err on the safe side.
+fn insert_bounded(set: &mut BTreeSet<ServerId>, server: ServerId) -> bool {
+    let is_new = set.insert(server);
+    if set.len() > Bounds::default().stopped {
+        let dropped = set.iter().copied().find(|s| *s != server);
+        dropped.map(|s| set.remove(&s));
+    }
+    is_new
+}
+
+impl FrontHistory {
+    pub(crate) fn new(config: Option<&PersistenceConfig>) -> Self {
+        FrontHistory {
+            executed_paid: Paid::default(),
+            max_paid_sessions: config.map(|c| c.max_paid_sessions),
+            unproven_until: Duration::ZERO,
+            stopped: BTreeSet::new(),
+            failed: BTreeSet::new(),
+            unreported_failures: BTreeSet::new(),
+            unreleased: Vec::new(),
+        }
+    }
+
+    /// Restores what the log proves of earlier incarnations.
+    ///
+    /// Where records of paid sessions may be missing, paid sessions count as unproven for `max_wait`, the longest
+    /// time that a paid viewer waits: after it, every viewer of the previous incarnation has given up.
+    pub(crate) fn restore(&mut self, now: Duration, recovered: &mut Recovered, max_wait: Duration) {
+        if recovered.trust.misses() {
+            self.unproven_until = now + max_wait;
+        }
+        // The recovery applies the same bounds.
+        self.executed_paid = std::mem::take(&mut recovered.paid);
+        self.stopped = std::mem::take(&mut recovered.stopped);
+        self.unreported_failures.clone_from(&recovered.failed);
+        self.failed = std::mem::take(&mut recovered.failed);
+        self.unreleased = std::mem::take(&mut recovered.held);
+    }
+
+    /// Remembers a paid session that a server may have executed.
+    pub(crate) fn record_executed(&mut self, sid: &str) {
+        if let Some(max) = self.max_paid_sessions {
+            self.executed_paid.add(digest(sid), max);
+        }
+    }
+
+    /// Returns whether a paid session is remembered as possibly executed, or may have been dropped at the bound.
+    pub(crate) fn remembers_paid(&self, sid: &str) -> bool {
+        self.max_paid_sessions
+            .is_none_or(|max| self.executed_paid.has(digest(sid)) || self.executed_paid.iter().len() >= max)
+    }
+
+    /// Checks the bounds on all that is remembered.
+    pub(crate) fn check(&self) -> Result<(), InvariantViolation> {
+        let bound =
+            |what, held, max| ensure(held <= max, || InvariantViolation::HistoryBound { what, held, max });
+        bound("paid sessions", self.executed_paid.iter().len(), self.max_paid_sessions.unwrap_or(0))?;
+        let bounds = Bounds::default();
+        bound("stopped servers", self.stopped.len(), bounds.stopped)?;
+        bound("failed servers", self.failed.len(), bounds.stopped)?;
+        bound("unreported failures", self.unreported_failures.len(), bounds.stopped)?;
+        bound("unreleased sessions", self.unreleased.len(), bounds.held)
+    }
+
+    /// Reason for which the history forbids setting a session up, if any (rule 2).
+    ///
+    /// A session that may have been executed is rejected. So is a paid one for which this cannot be told, after a
+    /// start that proves nothing about the previous incarnation.
+    pub(crate) fn rejects(&self, now: Duration, sid: &str, paid: bool) -> Option<RejectReason> {
+        if self.executed_paid.has(digest(sid)) {
+            return Some(RejectReason::AlreadySetUp);
+        }
+        (paid && now < self.unproven_until).then_some(RejectReason::HistoryUnknown)
+    }
+
+    /// Corrects a persisted list by drains that were logged after the list was saved.
+    ///
+    /// Without this, a front killed between learning of a drain and saving its list would use the draining server
+    /// after its restart (rule 3).
+    pub(crate) fn apply_drains(&self, update: &mut ListUpdate) {
+        if update.mode != ListMode::Stale {
+            return;
+        }
+        for e in update.entries.iter_mut().filter(|e| e.state == WireState::Serving) {
+            if self.stopped.contains(&e.id) {
+                e.state = WireState::Draining;
+            }
+        }
+    }
+
+    /// Records an update of the list, and returns the log records of it that later incarnations need (rule 3).
+    pub(crate) fn record_list_update(
+        &mut self,
+        update: &ListUpdate,
+        stopped: &BTreeSet<ServerId>,
+    ) -> Vec<Deed> {
+        let mut records = Vec::new();
+        if self.max_paid_sessions.is_none() {
+            return records;
+        }
+        if update.mode != ListMode::Stale {
+            let serving = update.entries.iter().filter(|e| e.state == WireState::Serving);
+            for server in serving.map(|e| e.id) {
+                if self.stopped.remove(&server) {
+                    records.push(Deed::Listed { server, serves: true });
+                }
+            }
+        }
+        for server in stopped.iter().copied() {
+            if insert_bounded(&mut self.stopped, server) {
+                records.push(Deed::Listed { server, serves: false });
+            }
+        }
+        records
+    }
+
+    /// Records how an attempt or a session at a server ended. Returns a log record if the server's state changed.
+    pub(crate) fn record_outcome(&mut self, server: ServerId, worked: bool) -> Option<Deed> {
+        self.max_paid_sessions?;
+        let changed =
+            if worked { self.failed.remove(&server) } else { insert_bounded(&mut self.failed, server) };
+        changed.then_some(Deed::Failed { server, failed: !worked })
+    }
+
+    /// Takes the recovered failures of servers that are listed by now, as reports for the policy.
+    ///
+    /// Without them, a restarted front would take a server for warm that its previous incarnation saw vanish, and
+    /// that may have come back cold (rule 4).
+    pub(crate) fn take_failures(&mut self, is_listed: impl Fn(ServerId) -> bool) -> Vec<Heard> {
+        let reported: Vec<_> = self.unreported_failures.iter().copied().filter(|s| is_listed(*s)).collect();
+        self.unreported_failures.retain(|s| !reported.contains(s));
+        reported
+            .into_iter()
+            .map(|server| Heard { server, failed: true, lost: true, ..Heard::default() })
+            .collect()
+    }
+
+    /// Takes the sessions of the previous incarnation whose servers have a known address, to release them once.
+    ///
+    /// A session whose server is missing on a whole list is dropped; the server's idle timeout ends it.
+    pub(crate) fn take_releases<A>(
+        &mut self,
+        whole_list: bool,
+        address: impl Fn(ServerId) -> Option<A>,
+    ) -> Vec<(A, Held)> {
+        let mut releases = Vec::new();
+        for held in std::mem::take(&mut self.unreleased) {
+            match address(held.server) {
+                Some(address) => releases.push((address, held)),
+                None if !whole_list => self.unreleased.push(held),
+                None => {}
+            }
+        }
+        releases
+    }
+}
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -1,42 +1,52 @@
-//! The session core: one state machine for every front, without any I/O.
+//! Session core of a front: one state machine for all its sessions, without I/O.
 //!
-//! A shell (sockets, or a simulation in virtual time) reports what happened as [`Input`]s, with the time as
-//! an argument, and carries out the [`Command`]s that come back. In between, the core turns inputs into
-//! events of the decision module ([`Policy`]), has it decide, and turns its actions into commands. The core
-//! itself decides neither server nor rung nor whether to try again; what it keeps is what is *proven*:
-//! which attempts were never sent, which may have run, who still waits for an answer.
+//! The caller (sockets, or a simulation in virtual time) reports events as [`Input`]s, with the current time as an
+//! argument, and carries out the [`Command`]s that are returned. In between, the core translates inputs to events of
+//! the [`Policy`], runs the policy, and translates its actions to commands. The core itself chooses neither server
+//! nor rung and does not decide on retries. It tracks what is *proven*: which attempts were never sent, which ones
+//! may have been executed by a server, and which viewers still wait for an answer.
 //!
-//! The way of a request: [`arrival::read`] maps hints and path to an [`Arrival`]; [`Core::step`] reports it
-//! as a call; the module's `Send` becomes [`Command::Send`]; the shell's word on it becomes the attempt's
-//! outcome; [`Command::Answer`] goes to whoever waits.
+//! A request takes these steps: [`arrival::read`] translates hints and path to an [`Arrival`]; [`Core::step`] passes
+//! it to the policy as a call; the policy's `Send` action becomes [`Command::Send`]; the caller's report on the
+//! attempt becomes its outcome; [`Command::Answer`] goes to each waiting viewer.
+//!
+//! Comments refer to these rules by number:
+//!
+//! 1. Each request gets exactly one answer by its deadline.
+//! 2. A session has at most one pending attempt, and a paid session that a server may have executed is never set up
+//!    again.
+//! 3. No set-up is sent to a server after this front has learned that the server accepts no new sessions.
+//! 4. A cold server, that is one that has just started, is not sent more set-ups at once than it can take.
+//! 5. A session's rung and the number of sessions of one title stay within the limits of the class.
+//! 6. Retries stay within the retry budget, across restarts of the front too.
 
 pub mod arrival;
-mod broken;
+mod config;
 mod core;
-mod gauge;
-mod held;
-mod learn;
+mod history;
+mod invariants;
+mod knowledge;
 mod list;
-mod lives;
 mod policy;
+mod report_throttle;
 mod routes;
+mod session_state;
 mod stats;
-mod terms;
 mod timers;
 mod types;
 
-pub use crate::core::{Core, Tap};
-pub use broken::{enforce, Broken, BROKEN_EXIT};
-/// A name as a number, equal on all fronts.
+pub use crate::core::{Core, StepObserver};
+/// Hash of a name, equal on all fronts.
 pub use cloverhollow_settings::title_id;
-pub use gauge::Gauge;
-pub use learn::Shelf;
+pub use config::{ClassConfig, CoreConfig, PersistenceConfig};
+pub use invariants::{invariants_hold, InvariantViolation, INVARIANT_EXIT_CODE};
+pub use knowledge::SnapshotCell;
 pub use list::{
-    Feed, FeedError, ListMessage, ListNews, MessageKind, SavedList, ServerEntry, ServerList, WireState,
+    Feed, FeedError, ListMessage, ListUpdate, MessageKind, SavedList, ServerEntry, ServerList, WireState,
 };
-pub use list::{MOST_MESSAGE_BYTES, MOST_SERVERS};
+pub use list::{MAX_MESSAGE_BYTES, MAX_SERVERS};
 pub use policy::Policy;
+pub use report_throttle::ReportThrottle;
 pub use routes::{Route, Routes};
 pub use stats::Stats;
-pub use terms::{ClassTerms, MemoryTerms, Terms};
 pub use types::*;
--- a/crates/session/src/list/feed.rs
+++ b/crates/session/src/list/feed.rs
@@ -1,97 +1,113 @@
-//! Discovery's messages and their order.
+//! Messages of the discovery stream and their order.
 
-use super::{ServerEntry, MOST_SERVERS};
+use super::{ServerEntry, MAX_SERVERS};
 use cloverhollow::ListMode;
 use serde::{Deserialize, Serialize};
 
-/// What a message holds.
+/// Scope of a discovery message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MessageKind {
-    /// All servers; what is missing is gone.
+    /// The complete list. A server that is not in it is gone.
     Whole,
-    /// Servers that changed since version `after`.
+    /// Servers that changed since version [`ListMessage::after`].
     Patch,
 }
 
-/// A message of discovery: the data of one event of its stream.
+/// A discovery message: the data of one event of the stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListMessage {
-    /// What it holds.
+    /// Scope of the message.
     pub kind: MessageKind,
-    /// Version of the list that it leads to.
+    /// Version of the list after the message is applied.
     pub version: u64,
-    /// Version that a patch goes out from.
+    /// Version of the list that a patch applies to. Unused in a whole list.
     #[serde(default)]
     pub after: u64,
-    /// The servers.
+    /// Servers in the message.
     pub servers: Vec<ServerEntry>,
 }
 
-/// News as the core takes it, in order and without gaps.
+/// A validated update of the server list, in order and without gaps.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListNews {
-    /// How the entries are to be read.
+pub struct ListUpdate {
+    /// Relation of the entries to the list before the update.
     pub mode: ListMode,
-    /// Version of the list.
+    /// Version of the list after the update.
     pub version: u64,
-    /// The entries.
+    /// Servers in the update.
     pub entries: Vec<ServerEntry>,
 }
 
-impl ListNews {
-    /// The stream broke or could not be had: the list stays as it was.
+impl ListUpdate {
+    /// Update that reports an unavailable or broken stream. The list stays as it was.
     pub fn broken() -> Self {
-        ListNews { mode: ListMode::Broken, version: 0, entries: Vec::new() }
+        ListUpdate { mode: ListMode::Broken, version: 0, entries: Vec::new() }
     }
 }
 
-/// Why a message cannot be used. The stream is asked for again, from the start.
+/// Reason for rejecting a discovery message. The stream is then requested again from the start.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[allow(missing_docs)] // the messages say it
 pub enum FeedError {
-    #[error("a patch after version {after}, and {known:?} is known")]
-    Gap { after: u64, known: Option<u64> },
-    #[error("version {version} after {known}")]
-    Backwards { version: u64, known: u64 },
-    #[error("more than {MOST_SERVERS} servers")]
+    /// A patch applies to another version than the last one received.
+    #[error("patch applies to version {after}, last version received: {known:?}")]
+    Gap {
+        /// Version that the patch applies to.
+        after: u64,
+        /// Last version received on this stream, if any.
+        known: Option<u64>,
+    },
+    /// A patch leads to a version that is not newer than the last one.
+    #[error("version {version} is not newer than version {known}")]
+    Backwards {
+        /// Version that the patch leads to.
+        version: u64,
+        /// Last version received on this stream.
+        known: u64,
+    },
+    /// The message names too many servers.
+    #[error("more than {MAX_SERVERS} servers")]
     TooMany,
-    #[error("a server with a weight that is no positive number")]
-    Weight,
-    #[error("not a message: {0}")]
+    /// A server's weight is not a positive finite number.
+    #[error("server weight is not a positive number")]
+    InvalidWeight,
+    /// The data is not a discovery message.
+    #[error("malformed discovery message: {0}")]
     Syntax(String),
 }
 
-/// Puts messages of one stream in order. A stream that is asked for anew gets a new feed, which begins with
-/// a whole list: patches of two streams never mix.
+/// Decoder for the messages of one discovery stream, which checks their order.
+///
+/// Each new stream needs a new feed, and begins with a whole list, so patches of two streams never mix.
 #[derive(Debug, Default)]
 pub struct Feed {
-    known: Option<u64>,
+    /// Version of the last message; `None` before the first one.
+    last_version: Option<u64>,
 }
 
 impl Feed {
-    /// Reads the data of one event.
+    /// Decodes the data of one event.
     ///
     /// # Errors
-    /// It is malformed, or out of order.
-    pub fn read(&mut self, data: &str) -> Result<ListNews, FeedError> {
+    /// The message is malformed or out of order.
+    pub fn read(&mut self, data: &str) -> Result<ListUpdate, FeedError> {
         let message: ListMessage =
             serde_json::from_str(data).map_err(|e| FeedError::Syntax(e.to_string()))?;
-        if message.servers.len() > MOST_SERVERS {
+        if message.servers.len() > MAX_SERVERS {
             return Err(FeedError::TooMany);
         }
         if message.servers.iter().any(|s| !s.weight.is_finite() || s.weight <= 0.0) {
-            return Err(FeedError::Weight);
+            return Err(FeedError::InvalidWeight);
         }
-        let mode = match (message.kind, self.known) {
+        let mode = match (message.kind, self.last_version) {
             (MessageKind::Whole, _) => ListMode::Whole,
             (MessageKind::Patch, Some(known)) if known == message.after => ListMode::Patch,
             (MessageKind::Patch, known) => return Err(FeedError::Gap { after: message.after, known }),
         };
-        if let Some(known) = self.known.filter(|k| message.version <= *k && mode == ListMode::Patch) {
+        if let Some(known) = self.last_version.filter(|k| message.version <= *k && mode == ListMode::Patch) {
             return Err(FeedError::Backwards { version: message.version, known });
         }
-        self.known = Some(message.version);
-        Ok(ListNews { mode, version: message.version, entries: message.servers })
+        self.last_version = Some(message.version);
+        Ok(ListUpdate { mode, version: message.version, entries: message.servers })
     }
 }
