--- a/crates/session/src/list/mod.rs
+++ b/crates/session/src/list/mod.rs
@@ -1,126 +1,128 @@
-//! The server list: discovery's messages, their order, and what is kept for the next start.
+//! The list of video servers, kept up to date by discovery.
 
 mod feed;
 mod saved;
 
-pub use feed::{Feed, FeedError, ListMessage, ListNews, MessageKind};
+pub use feed::{Feed, FeedError, ListMessage, ListUpdate, MessageKind};
 pub use saved::SavedList;
 
-use crate::broken::{hold, Broken};
-use crate::terms::Terms;
+use crate::config::CoreConfig;
+use crate::invariants::{ensure, InvariantViolation};
 use cloverhollow::{Entry, ListMode, Listed, ServerId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most servers that a list may hold.
-pub const MOST_SERVERS: usize = 65_536;
-/// Longest message of discovery, bytes.
-pub const MOST_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum number of servers on the list that are not gone.
+pub const MAX_SERVERS: usize = 65_536;
+/// Maximum length of a discovery message, bytes.
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// State of a server as discovery writes it.
+/// State of a server, as written by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WireState {
-    /// Takes new work.
+    /// The server accepts new sessions.
     Serving,
-    /// Finishes what it has.
+    /// The server finishes its sessions and accepts no new ones.
     Draining,
-    /// Is gone.
+    /// The server is gone.
     Gone,
 }
 
-/// One server as discovery writes it.
+/// One server, as written by discovery.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Its id: the same at every front, and the same when its process restarts.
+    /// Id of the server. It is the same at every front, and does not change when the server's process restarts.
     pub id: ServerId,
-    /// What all fronts know it by alike, where `id` is this front's own number of it; absent: `id`.
+    /// Key by which all fronts know the server, where `id` is a number local to this front. `None` means `id`.
     #[serde(skip)]
     pub key: Option<u64>,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Its hall.
-    #[serde(default)]
-    pub hall: String,
-    /// Its kind, by name.
+    /// Zone of the server.
+    #[serde(default, rename = "hall")]
+    pub zone: String,
+    /// Name of the server's kind.
     #[serde(default)]
     pub kind: String,
-    /// Its cell.
+    /// Cell of the server.
     #[serde(default)]
     pub cell: u64,
-    /// Its weight, without a unit.
-    #[serde(default = "one")]
+    /// Share of new sessions relative to other servers, without a unit.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Its state.
+    /// State of the server.
     pub state: WireState,
-    /// Rises with each start of its process.
+    /// Number that rises with each start of the server's process.
     #[serde(default)]
     pub incarnation: u64,
-    /// How long ago its process started, ms at the time of sending; absent: long ago.
+    /// Age of the server's process when the message was sent, ms. `None` if it started long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_ms_ago: Option<u64>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct ListedServer {
     entry: ServerEntry,
-    /// When its process started, on this front's clock; zero: long ago.
-    started: Duration,
+    /// Start of the server's process on this front's clock; zero if it started long ago.
+    started_at: Duration,
 }
 
-/// What the last list says, on this front's clock.
+/// Servers named by discovery, with times on this front's clock.
+///
+/// A server that is gone stays on the list until [`ServerList::prune_gone`] removes it.
 #[derive(Debug, Default)]
 pub struct ServerList {
     version: u64,
-    servers: BTreeMap<ServerId, Known>,
+    servers: BTreeMap<ServerId, ListedServer>,
 }
 
-/// What news of the list mean.
+/// Changes caused by an update of the list.
 #[derive(Debug)]
-pub struct Applied {
-    /// For the decision module.
+pub struct AppliedUpdate {
+    /// Changed servers in the policy's form.
     pub entries: Vec<Entry>,
-    /// Servers that took new work before and do no longer.
+    /// Servers that accepted new sessions before the update and do not any more.
     pub stopped: BTreeSet<ServerId>,
 }
 
 impl ServerList {
-    /// Takes news in.
-    pub fn apply(&mut self, now: Duration, news: &ListNews, terms: &Terms) -> Applied {
-        let mut out = Applied { entries: Vec::new(), stopped: BTreeSet::new() };
-        if news.mode == ListMode::Broken {
+    /// Applies an update.
+    pub fn apply(&mut self, now: Duration, update: &ListUpdate, config: &CoreConfig) -> AppliedUpdate {
+        let mut out = AppliedUpdate { entries: Vec::new(), stopped: BTreeSet::new() };
+        if update.mode == ListMode::Broken {
             return out;
         }
-        self.version = news.version;
-        if news.mode != ListMode::Patch {
-            let named: BTreeSet<ServerId> = news.entries.iter().map(|e| e.id).collect();
-            for (id, known) in self.servers.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                if known.entry.state == WireState::Serving {
+        self.version = update.version;
+        if update.mode != ListMode::Patch {
+            let named: BTreeSet<ServerId> = update.entries.iter().map(|e| e.id).collect();
+            for (id, listed) in self.servers.iter_mut().filter(|(id, _)| !named.contains(id)) {
+                if listed.entry.state == WireState::Serving {
                     out.stopped.insert(*id);
                 }
-                known.entry.state = WireState::Gone;
+                listed.entry.state = WireState::Gone;
             }
         }
-        let mut there = self.servers.values().filter(|k| k.entry.state != WireState::Gone).count();
+        let mut present = self.servers.values().filter(|s| s.entry.state != WireState::Gone).count();
         let mut left_out = 0;
-        for e in &news.entries {
-            // Guards against a list that grows by patches without end: each message is bounded, their sum is not.
-            let was = self.servers.get(&e.id).is_some_and(|k| k.entry.state != WireState::Gone);
-            let is = e.state != WireState::Gone;
-            if is && !was && there >= MOST_SERVERS {
+        for e in &update.entries {
+            // Each message is bounded, but patches could add servers without end.
+            let was_present = self.servers.get(&e.id).is_some_and(|s| s.entry.state != WireState::Gone);
+            let is_present = e.state != WireState::Gone;
+            if is_present && !was_present && present >= MAX_SERVERS {
                 left_out += 1;
                 continue;
             }
-            there = there + usize::from(is) - usize::from(was);
-            let started = self.started(now, e);
-            let before = self.servers.insert(e.id, Known { entry: e.clone(), started });
-            let served = before.is_some_and(|k| k.entry.state == WireState::Serving);
+            present = present + usize::from(is_present) - usize::from(was_present);
+            let started_at = self.started_at(now, e);
+            let previous = self.servers.insert(e.id, ListedServer { entry: e.clone(), started_at });
+            let served = previous.is_some_and(|s| s.entry.state == WireState::Serving);
             if served && e.state != WireState::Serving {
                 out.stopped.insert(e.id);
             }
@@ -128,95 +130,96 @@
                 server: e.id,
                 key: e.key.unwrap_or(e.id),
                 cell: e.cell,
-                kind: terms.kind(&e.kind),
+                kind: config.kind_index(&e.kind),
                 weight: e.weight,
                 state: match e.state {
                     WireState::Serving => Listed::Serving,
                     WireState::Draining => Listed::Draining,
                     WireState::Gone => Listed::Gone,
                 },
-                started,
-                far: e.hall != terms.hall,
+                started: started_at,
+                far: e.zone != config.zone,
             });
         }
         if left_out > 0 {
-            tracing::warn!(left_out, most = MOST_SERVERS, "more servers than a list may hold");
+            tracing::warn!(left_out, most = MAX_SERVERS, "server list full; new servers ignored");
         }
         out
     }
 
-    /// Lets servers go that are gone for good and that nobody `uses`: each has an id of its own, and they would
-    /// fill the list over the months.
-    pub fn let_go(&mut self, uses: impl Fn(ServerId) -> bool) {
-        self.servers.retain(|id, k| k.entry.state != WireState::Gone || uses(*id));
+    /// Removes servers that are gone and that `in_use` rejects. Each of them has an id of its own, so without this
+    /// the list would grow without bound over months.
+    pub fn prune_gone(&mut self, in_use: impl Fn(ServerId) -> bool) {
+        self.servers.retain(|id, s| s.entry.state != WireState::Gone || in_use(*id));
     }
 
-    /// How many servers it holds, those that are gone among them.
-    #[allow(clippy::len_without_is_empty)] // nobody asks
+    /// Number of servers held, those that are gone included.
+    #[allow(clippy::len_without_is_empty)] // Nothing needs `is_empty`.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether a server that is gone is still held.
-    pub fn holds_gone(&self) -> bool {
-        self.servers.values().any(|k| k.entry.state == WireState::Gone)
+    /// Returns whether a server that is gone is still held.
+    pub fn has_gone(&self) -> bool {
+        self.servers.values().any(|s| s.entry.state == WireState::Gone)
     }
 
-    /// When a process started. Each message tells it anew as an age, some milliseconds off: for a start that
-    /// is known already the first word stays, else each message would look like a restart.
-    fn started(&self, now: Duration, e: &ServerEntry) -> Duration {
-        let known = self.servers.get(&e.id).filter(|k| k.entry.incarnation == e.incarnation);
-        match (known, e.started_ms_ago) {
-            (Some(k), _) => k.started,
+    /// Start of the process named by an entry. Each message gives it as an age, some milliseconds off, so the first
+    /// value stays for as long as the incarnation does; else each message would look like a restart.
+    fn started_at(&self, now: Duration, e: &ServerEntry) -> Duration {
+        let listed = self.servers.get(&e.id).filter(|s| s.entry.incarnation == e.incarnation);
+        match (listed, e.started_ms_ago) {
+            (Some(s), _) => s.started_at,
             (None, None) => Duration::ZERO,
             (None, Some(ms)) => now.saturating_sub(Duration::from_millis(ms)),
         }
     }
 
-    /// Where a server listens.
+    /// Address that a server listens on; `None` if the server is not on the list.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers.get(&server).map(|k| k.entry.address)
+        self.servers.get(&server).map(|s| s.entry.address)
     }
 
-    /// Whether that entry tells of another process than the one that is listed under its id.
+    /// Returns whether an entry names another incarnation than the one listed under its id.
     pub fn is_restart(&self, e: &ServerEntry) -> bool {
-        self.servers.get(&e.id).is_some_and(|k| k.entry.incarnation != e.incarnation)
+        self.servers.get(&e.id).is_some_and(|s| s.entry.incarnation != e.incarnation)
     }
 
-    /// Other servers that were listed at that address.
-    pub fn others_at(&self, address: SocketAddr, server: ServerId) -> Vec<ServerId> {
-        let there = self.servers.iter().filter(|(id, k)| k.entry.address == address && **id != server);
-        there.map(|(id, _)| *id).collect()
+    /// Servers other than `server` that are listed at an address.
+    pub fn others_at_address(&self, address: SocketAddr, server: ServerId) -> Vec<ServerId> {
+        let others = self.servers.iter().filter(|(id, s)| s.entry.address == address && **id != server);
+        others.map(|(id, _)| *id).collect()
     }
 
-    /// How many servers take new work.
-    pub fn serving(&self) -> usize {
-        self.servers.values().filter(|k| k.entry.state == WireState::Serving).count()
+    /// Number of servers that accept new sessions.
+    pub fn serving_count(&self) -> usize {
+        self.servers.values().filter(|s| s.entry.state == WireState::Serving).count()
     }
 
-    /// Whether a server takes new work.
-    pub(crate) fn serves(&self, server: ServerId) -> bool {
-        self.servers.get(&server).is_some_and(|k| k.entry.state == WireState::Serving)
+    /// Returns whether a server accepts new sessions.
+    pub(crate) fn is_serving(&self, server: ServerId) -> bool {
+        self.servers.get(&server).is_some_and(|s| s.entry.state == WireState::Serving)
     }
 
-    /// Servers that are there are bounded; those that are gone stay while a session is there.
-    pub(crate) fn check(&self, sessions: usize) -> Result<(), Broken> {
-        let (held, most) = (self.servers.len(), MOST_SERVERS + sessions);
-        hold(held <= most, || Broken::List { held, most })
+    /// Checks the bound on the list. A server that is gone may stay for as long as one of `sessions` sessions is
+    /// there.
+    pub(crate) fn check(&self, sessions: usize) -> Result<(), InvariantViolation> {
+        let (held, max) = (self.servers.len(), MAX_SERVERS + sessions);
+        ensure(held <= max, || InvariantViolation::ListBound { held, max })
     }
 
-    /// Version of the last list.
+    /// Version of the last list applied.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// As it is kept on disk.
-    pub fn save(&self, now: Duration) -> SavedList {
-        let servers = self.servers.values().filter(|k| k.entry.state != WireState::Gone);
-        let aged = servers.map(|k| {
-            let ago = (!k.started.is_zero()).then(|| now.saturating_sub(k.started).as_millis() as u64);
-            ServerEntry { started_ms_ago: ago, ..k.entry.clone() }
+    /// Copy of the list to persist.
+    pub fn to_saved(&self, now: Duration) -> SavedList {
+        let servers = self.servers.values().filter(|s| s.entry.state != WireState::Gone);
+        let with_age = servers.map(|s| {
+            let age = (!s.started_at.is_zero()).then(|| now.saturating_sub(s.started_at).as_millis() as u64);
+            ServerEntry { started_ms_ago: age, ..s.entry.clone() }
         });
-        SavedList { format: SavedList::FORMAT, version: self.version, servers: aged.collect() }
+        SavedList { format: SavedList::FORMAT, version: self.version, servers: with_age.collect() }
     }
 }
--- a/crates/session/src/list/saved.rs
+++ b/crates/session/src/list/saved.rs
@@ -1,46 +1,49 @@
-//! What is kept of the list for the next start.
+//! Copy of the server list that is persisted for the next start.
 
-use super::{FeedError, ListNews, ServerEntry, MOST_SERVERS};
+use super::{FeedError, ListUpdate, ServerEntry, MAX_SERVERS};
 use cloverhollow::ListMode;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The last list as it is kept on disk: the stale copy of the next start.
+/// Persisted copy of the last server list. The next incarnation starts with it as a stale list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedList {
-    /// Version of this format.
+    /// Version of the storage format.
     pub format: u32,
     /// Version of the list.
     pub version: u64,
-    /// All servers, ages as of the saving.
+    /// All servers, with their ages as of the time of saving.
     pub servers: Vec<ServerEntry>,
 }
 
 impl SavedList {
-    /// The format that this program writes and reads.
+    /// Version of the storage format that this program writes and reads.
     pub const FORMAT: u32 = 1;
 
-    /// Reads a file's text.
+    /// Parses the text of a persisted list.
     ///
     /// # Errors
-    /// In words, why it cannot be trusted; the file is then set aside.
+    /// Description of the reason for which the text cannot be used. The caller then sets the copy aside.
     pub fn read(text: &str) -> Result<SavedList, String> {
         let saved: SavedList = serde_json::from_str(text).map_err(|e| e.to_string())?;
         if saved.format != Self::FORMAT {
-            return Err(format!("format {} and not {}", saved.format, Self::FORMAT));
+            return Err(format!("storage format is {}, expected {}", saved.format, Self::FORMAT));
         }
-        if saved.servers.len() > MOST_SERVERS {
+        if saved.servers.len() > MAX_SERVERS {
             return Err(FeedError::TooMany.to_string());
         }
         Ok(saved)
     }
 
-    /// As news at a start. How long ago it was saved is not known (clocks jump): a server that was cold when
-    /// it was saved counts as started now, the careful way; the next list tells better.
-    pub fn news(mut self, cold: Duration) -> ListNews {
+    /// Converts this copy to the update that is applied at a start. A server younger than `cold` when it was saved
+    /// counts as started now.
+    ///
+    /// The time since the saving is unknown because clocks may jump, so the youngest possible age is assumed. The
+    /// next list from discovery replaces it.
+    pub fn into_update(mut self, cold: Duration) -> ListUpdate {
         for s in &mut self.servers {
             s.started_ms_ago = s.started_ms_ago.filter(|ms| Duration::from_millis(*ms) < cold).map(|_| 0);
         }
-        ListNews { mode: ListMode::Stale, version: self.version, entries: self.servers }
+        ListUpdate { mode: ListMode::Stale, version: self.version, entries: self.servers }
     }
 }
--- a/crates/session/src/policy.rs
+++ b/crates/session/src/policy.rs
@@ -1,16 +1,16 @@
-//! The decision module as the core sees it.
+//! Interface between the core and the module that makes decisions.
 
 use cloverhollow::{Action, Brain, Event, ServerId};
 use std::time::Duration;
 
-/// Whoever decides. [`Brain`] in the product; the laboratory puts baselines in its place.
+/// Chooses servers, rungs and retries for sessions. [`Brain`] in production; the laboratory substitutes baselines.
 pub trait Policy: Send {
-    /// Takes all events of one instant and gives what to do, in order.
+    /// Processes all events of one instant and returns the actions to take, in order.
     fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Action>;
 
-    /// If the first byte of a set-up to that server, decided just now, has not gone out within this, it never does;
-    /// `None`: the usual time.
-    fn send_within(&self, _: ServerId) -> Option<Duration> {
+    /// Longest time from a decision to the first byte of its set-up to that server, after which the set-up must not
+    /// be sent any more. `None` means the core's default.
+    fn max_send_delay(&self, _: ServerId) -> Option<Duration> {
         None
     }
 }
@@ -20,7 +20,7 @@
         Brain::step(self, now, events)
     }
 
-    fn send_within(&self, server: ServerId) -> Option<Duration> {
+    fn max_send_delay(&self, server: ServerId) -> Option<Duration> {
         Brain::send_within(self, server)
     }
 }
@@ -30,7 +30,7 @@
         (**self).step(now, events)
     }
 
-    fn send_within(&self, server: ServerId) -> Option<Duration> {
-        (**self).send_within(server)
+    fn max_send_delay(&self, server: ServerId) -> Option<Duration> {
+        (**self).max_send_delay(server)
     }
 }
--- a/crates/session/src/routes.rs
+++ b/crates/session/src/routes.rs
@@ -1,111 +1,114 @@
-//! Where playing sessions go: read by every connection without blocking, written by the core alone.
+//! Routes of playing sessions. Connections read them without blocking; only the core writes them.
 
-use crate::gauge::Gauge;
-use crate::types::Sid;
+use crate::report_throttle::ReportThrottle;
+use crate::types::SessionId;
 use cloverhollow::{RequestId, ServerId};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One playing session's way to its server.
+/// Route of one playing session to its server.
 #[derive(Debug)]
 pub struct Route {
-    /// The session, as the decision module names it.
+    /// Session, as numbered for the policy.
     pub request: RequestId,
-    /// The session, as its player names it.
-    pub sid: Sid,
-    /// Its class, by its index in the settings.
+    /// Session, as named by its player.
+    pub sid: SessionId,
+    /// Class of the session: an index into the settings' classes.
     pub class: usize,
-    /// Its server.
+    /// Server where the session plays.
     pub server: ServerId,
-    /// Where that is.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// The server's readings.
-    pub gauge: Arc<Gauge>,
-    /// The class's rates, kbps, by rung.
-    pub rates: Arc<[u32]>,
+    /// Throttle for the server's load reports, shared by all routes to the server.
+    pub report_throttle: Arc<ReportThrottle>,
+    /// Bit rates of the class by rung, kbps.
+    pub rates_kbps: Arc<[u32]>,
+    /// Rung in force.
     pub(crate) rung: AtomicU32,
-    pub(crate) seen_ms: AtomicU64,
-    /// Objects that its player waits for or takes.
-    pub(crate) fetching: AtomicU32,
+    /// Time of the player's last activity, ms.
+    pub(crate) last_activity_ms: AtomicU64,
+    /// Number of objects that the player is waiting for or receiving.
+    pub(crate) active_fetches: AtomicU32,
 }
 
-/// An object is under way to a route's player, until this is dropped.
+/// Guard for an object in transfer to a route's player. The transfer ends when the guard is dropped.
 #[derive(Debug)]
-pub struct Fetching<'a>(&'a Route);
+pub struct FetchGuard<'a>(&'a Route);
 
-impl Drop for Fetching<'_> {
+impl Drop for FetchGuard<'_> {
     fn drop(&mut self) {
-        self.0.fetching.fetch_sub(1, Relaxed);
+        self.0.active_fetches.fetch_sub(1, Relaxed);
     }
 }
 
 impl Route {
-    /// Its player waits for an object from now on: the session is not idle, however long that takes. Guards against
-    /// one that is let go, and whose seat is given away, while its player waits for a silent server or takes a long
-    /// object. The fetch's own time-outs bound it.
-    pub fn fetch(&self) -> Fetching<'_> {
-        self.fetching.fetch_add(1, Relaxed);
-        Fetching(self)
+    /// Marks an object as in transfer: the session is not idle until the guard is dropped.
+    ///
+    /// Without this, a session would end as idle, and its place be given away, while its player waits for a silent
+    /// server or receives a long object. The fetch has time-outs of its own that bound the transfer.
+    pub fn begin_fetch(&self) -> FetchGuard<'_> {
+        self.active_fetches.fetch_add(1, Relaxed);
+        FetchGuard(self)
     }
 
     pub(crate) fn is_fetching(&self) -> bool {
-        self.fetching.load(Relaxed) > 0
+        self.active_fetches.load(Relaxed) > 0
     }
 
-    /// The rung in force.
+    /// Rung in force: an index into the bit-rate ladder, lowest first.
     pub fn rung(&self) -> usize {
         self.rung.load(Relaxed) as usize
     }
 
-    /// Its rate, kbps.
+    /// Bit rate of the rung in force, kbps.
     pub fn kbps(&self) -> u32 {
-        self.rates.get(self.rung()).copied().unwrap_or(0)
+        self.rates_kbps.get(self.rung()).copied().unwrap_or(0)
     }
 
     pub(crate) fn set_rung(&self, rung: usize) {
         self.rung.store(rung as u32, Relaxed);
     }
 
-    /// Its player was heard of.
-    pub fn touch(&self, now: Duration) {
-        self.seen_ms.fetch_max(now.as_millis() as u64, Relaxed);
+    /// Records activity of the player, which restarts the session's idle timeout.
+    pub fn record_activity(&self, now: Duration) {
+        self.last_activity_ms.fetch_max(now.as_millis() as u64, Relaxed);
     }
 
-    /// When its player was last heard of.
-    pub fn seen(&self) -> Duration {
-        Duration::from_millis(self.seen_ms.load(Relaxed))
+    /// Time of the player's last recorded activity.
+    pub fn last_activity(&self) -> Duration {
+        Duration::from_millis(self.last_activity_ms.load(Relaxed))
     }
 }
 
-/// All routes. As many as there are playing sessions, which the settings bound.
+/// Routes of all playing sessions by name. Their number is bounded by the maximum number of sessions.
 #[derive(Debug, Default)]
 pub struct Routes {
-    map: papaya::HashMap<Sid, Arc<Route>>,
+    by_sid: papaya::HashMap<SessionId, Arc<Route>>,
 }
 
 impl Routes {
-    /// The route of a session that plays.
+    /// Route of a session, if the session plays.
     pub fn get(&self, sid: &str) -> Option<Arc<Route>> {
-        self.map.pin().get(sid).cloned()
+        self.by_sid.pin().get(sid).cloned()
     }
 
     pub(crate) fn insert(&self, route: Arc<Route>) {
-        self.map.pin().insert(route.sid.clone(), route);
+        self.by_sid.pin().insert(route.sid.clone(), route);
     }
 
     pub(crate) fn remove(&self, sid: &str) {
-        self.map.pin().remove(sid);
+        self.by_sid.pin().remove(sid);
     }
 
-    /// How many sessions play.
+    /// Number of playing sessions.
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.by_sid.len()
     }
 
-    /// Whether none plays.
+    /// Returns whether no session plays.
     pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+        self.by_sid.is_empty()
     }
 }
--- a/crates/session/src/types/commands.rs
+++ b/crates/session/src/types/commands.rs
@@ -1,6 +1,6 @@
-//! What the core has a shell do.
+//! Instructions that the core returns to its caller.
 
-use super::{AttemptId, OverWhy, Reason, Sid, ViewerId};
+use super::{AttemptId, EndReason, RejectReason, SessionId, ViewerId};
 use crate::routes::Route;
 use cloverhollow::ServerId;
 use cloverhollow_knowledge::{Level, MergeError};
@@ -9,75 +9,75 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why an attempt is recalled.
+/// Reason for cancelling a set-up attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RecallWhy {
-    /// Its time is up: close it whether it was sent or not.
+pub enum CancelReason {
+    /// The attempt timed out. Cancel it whether or not its request has been sent.
     TimedOut,
-    /// Its viewer has gone: close it whether it was sent or not.
-    HungUp,
-    /// Its server drains or is gone: only if its first byte has not gone out. Else nothing happens.
+    /// All viewers waiting for the attempt disconnected. Cancel it whether or not its request has been sent.
+    Disconnected,
+    /// The attempt's server is draining or gone. Cancel it only if the first byte of its request has not been sent.
     Drained,
 }
 
-/// A set-up to be sent.
+/// A set-up request to send to a video server.
 #[derive(Clone, Debug)]
 pub struct Setup<A> {
-    /// Which attempt.
+    /// Attempt that this request belongs to.
     pub attempt: AttemptId,
-    /// Which server.
+    /// Target server.
     pub server: ServerId,
-    /// Where it is.
+    /// Address of the target server.
     pub address: SocketAddr,
-    /// The playback session.
-    pub sid: Sid,
-    /// The rung.
+    /// Playback session to set up.
+    pub sid: SessionId,
+    /// Rung to stream at: an index into the bit-rate ladder, lowest first.
     pub rung: usize,
-    /// Its rate, kbps.
+    /// Bit rate of the rung, kbps.
     pub kbps: u32,
-    /// It may take effect once only.
+    /// True if the set-up must take effect at most once.
     pub paid: bool,
-    /// What must be taken down before its first byte goes out, if anything.
-    pub deed: Option<Deed>,
-    /// How long its answer is waited for, from now.
-    pub within: Duration,
-    /// If its first byte has not gone out by then, it never goes out.
-    pub until: Duration,
-    /// What the shell needs.
-    pub ask: A,
+    /// Record to persist before the first byte of the request is sent; `None` if nothing must be persisted.
+    pub log_record: Option<Deed>,
+    /// Time from now after which the core cancels the attempt if no answer has arrived.
+    pub timeout: Duration,
+    /// Time, on the core's clock, after which the request must not be sent any more.
+    pub send_deadline: Duration,
+    /// Caller's data for building the request, as passed in [`super::Arrival::payload`].
+    pub payload: A,
 }
 
-/// The one final answer to a waiting request.
+/// The one final answer to a waiting viewer.
 #[derive(Debug)]
 pub enum Answer<B> {
-    /// The set-up's own answer.
+    /// The session plays, and this viewer receives the server's response to the set-up.
     Stream {
-        /// Its route, for what the answer says of it.
+        /// Route of the session.
         route: Arc<Route>,
-        /// The answer under way.
-        answer: B,
+        /// Response to the set-up, as passed in [`super::Input::Playing`].
+        response: B,
     },
-    /// The session plays: ask its server as for any later object.
+    /// The session plays already: fetch the object from the route's server as any later object.
     Follow(Arc<Route>),
-    /// No session, and nothing ran: come back after this.
+    /// There is no session, and no attempt ran at a server. The viewer may retry.
     Refused {
-        /// The hold-off.
-        after: Duration,
-        /// Why.
-        reason: Reason,
+        /// Time that the viewer is asked to wait before its next request.
+        retry_after: Duration,
+        /// Reason for the refusal.
+        reason: RejectReason,
     },
-    /// No session, and something may have run. `late`: no answer came in time.
+    /// There is no session, and an attempt may have run at a server.
     Failed {
-        /// Whether it was for want of time.
-        late: bool,
-        /// Why.
-        reason: Reason,
+        /// True if no answer came in time, false if an error was seen.
+        timed_out: bool,
+        /// Reason for the failure.
+        reason: RejectReason,
     },
 }
 
 impl<B> Answer<B> {
-    /// As a token for logs.
-    pub fn word(&self) -> &'static str {
+    /// Token that names this answer in logs.
+    pub fn token(&self) -> &'static str {
         match self {
             Answer::Stream { .. } => "plays",
             Answer::Follow(_) => "follow",
@@ -86,70 +86,70 @@
     }
 }
 
-/// What the shell is to do, in order.
+/// An instruction to the caller. Instructions are carried out in order.
 #[derive(Debug)]
 pub enum Command<A, B> {
-    /// Send a set-up. The shell reports its end exactly once.
+    /// Send a set-up request. The caller reports the attempt's end exactly once.
     Send(Setup<A>),
-    /// Recall an attempt.
-    Recall {
-        /// Which attempt.
+    /// Cancel an attempt.
+    Cancel {
+        /// Attempt to cancel.
         attempt: AttemptId,
-        /// Why.
-        why: RecallWhy,
+        /// Reason, which decides whether a request that has been sent is cancelled too.
+        reason: CancelReason,
     },
-    /// Answer a waiting request.
+    /// Answer a waiting viewer.
     Answer {
-        /// Who waits.
+        /// Viewer to answer.
         viewer: ViewerId,
-        /// What it gets.
+        /// Answer to send.
         answer: Answer<B>,
     },
-    /// Take this down for later lives; nobody waits for it.
-    Keep(Deed),
-    /// Tell a server that a session is over, so that it lets go of what it may hold.
+    /// Append a record to the write-ahead log. Nothing waits for the write.
+    Persist(Deed),
+    /// Tell a server that a session has ended, so that it frees what it may hold for it.
     Release {
-        /// Where the server is.
+        /// Address of the server.
         address: SocketAddr,
-        /// Which server.
+        /// Server to notify.
         server: ServerId,
-        /// Which session.
-        sid: Sid,
+        /// Session that has ended.
+        sid: SessionId,
     },
-    /// A session that played is over.
-    Over {
-        /// Which session.
-        sid: Sid,
-        /// Where it played.
+    /// A playing session has ended.
+    SessionEnded {
+        /// Session that ended.
+        sid: SessionId,
+        /// Server where the session played.
         server: ServerId,
-        /// Why.
-        why: OverWhy,
+        /// Reason for the end.
+        reason: EndReason,
     },
-    /// A session that plays has another rung from now on.
-    Rung {
-        /// Where it plays.
+    /// The rung of a playing session has changed.
+    RungChanged {
+        /// Server where the session plays.
         server: ServerId,
-        /// Which session.
-        sid: Sid,
-        /// The rung.
+        /// Session whose rung changed.
+        sid: SessionId,
+        /// New rung: an index into the bit-rate ladder, lowest first.
         rung: usize,
     },
-    /// A peer's answer was merged, or refused whole.
-    Merged {
-        /// Whose.
+    /// A peer's knowledge message was merged, or rejected as a whole.
+    KnowledgeMerged {
+        /// Sender of the message.
         peer: SocketAddr,
-        /// How warm the peer is, its last change, and the peers that it knows.
-        outcome: Result<PeerSaid, MergeError>,
+        /// Sender's state as of the message, or the reason for the rejection.
+        outcome: Result<PeerStatus, MergeError>,
     },
 }
 
-/// What a merged answer says of its sender.
+/// State of a peer, taken from a merged message of that peer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeerSaid {
-    /// How warm it is.
+pub struct PeerStatus {
+    /// How much of the fleet's knowledge the peer has gathered since its start.
     pub level: Level,
-    /// Number of its last change: what the next delta is asked after.
+    /// Sequence number of the peer's last change. The next delta is requested from here.
     pub seq: u64,
-    /// Peers that it knows.
+    /// Addresses of the peers known to this peer.
     pub peers: Vec<SocketAddr>,
 }
--- a/crates/session/src/types/inputs.rs
+++ b/crates/session/src/types/inputs.rs
@@ -1,7 +1,7 @@
-//! What a shell tells the core.
+//! Events that the caller reports to the core.
 
-use super::{AttemptId, Load, Sid, ViewerId};
-use crate::list::ListNews;
+use super::{AttemptId, Load, SessionId, ViewerId};
+use crate::list::ListUpdate;
 use cloverhollow::{Call, Note, RequestId, ServerId, TitleId};
 use cloverhollow_hints::{Contradictions, Faults};
 use cloverhollow_knowledge::wire::Message;
@@ -9,186 +9,188 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request of a session, read from hints and path by [`crate::arrival::read`].
+/// A viewer's request for a session that has no route yet. [`crate::arrival::read`] builds it from hints and path.
 #[derive(Clone, Debug)]
 pub struct Arrival<A> {
-    /// Who waits.
+    /// Viewer waiting for the answer.
     pub viewer: ViewerId,
-    /// The playback session.
-    pub sid: Sid,
-    /// The title.
+    /// Playback session requested.
+    pub sid: SessionId,
+    /// Title requested.
     pub title: TitleId,
-    /// The class, by its index in the settings.
+    /// Class of the session: an index into the settings' classes.
     pub class: usize,
-    /// The tenant, by its index in the settings.
+    /// Tenant: an index into the settings' tenants. `None` if the request names none.
     pub tenant: Option<usize>,
-    /// The highest rung that the viewer can use.
-    pub top: usize,
-    /// Where the title's cells begin.
+    /// Highest rung that the viewer can use; `usize::MAX` if it has not limited the rate.
+    pub max_rung: usize,
+    /// First of the consecutive cells that hold the title.
     pub first_cell: u64,
-    /// How many cells hold it.
-    pub cells: u64,
-    /// The viewer says that it comes again.
-    pub again: bool,
-    /// How long the viewer waits, from now.
-    pub patience: Duration,
-    /// The hints say that it plays already: somebody has set it up.
-    pub underway: bool,
-    /// Hints that could not be used.
-    pub faults: Faults,
+    /// Number of cells that hold the title.
+    pub cell_count: u64,
+    /// True if the viewer says that it has requested this session before.
+    pub repeated: bool,
+    /// Time that the viewer waits for the answer, from now.
+    pub max_wait: Duration,
+    /// True if the hints say that the session plays already, so that a front has set it up.
+    pub already_playing: bool,
+    /// Hints that could not be used, counted by fault.
+    pub hint_faults: Faults,
     /// Hints that contradicted each other.
-    pub contradictions: Contradictions,
-    /// What the shell needs to ask a server for it.
-    pub ask: A,
+    pub hint_contradictions: Contradictions,
+    /// Caller's data for building the request to a server. Returned in [`super::Setup::payload`].
+    pub payload: A,
 }
 
 impl<A> Arrival<A> {
-    /// As the decision module is told of it.
+    /// Converts this request to the policy's form.
     pub(crate) fn call(&self, request: RequestId, deadline: Duration) -> Call {
         Call {
             request,
             title: self.title,
             class: self.class,
             tenant: self.tenant,
-            top: self.top,
+            top: self.max_rung,
             first_cell: self.first_cell,
-            cells: self.cells,
+            cells: self.cell_count,
             deadline,
-            again: self.again,
+            again: self.repeated,
         }
     }
 }
 
-/// What is proven of an attempt that did not come to play.
+/// End of an attempt that did not lead to a playing session, with what is proven about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection could be made: no byte was sent.
+    /// No connection could be made, so no byte was sent.
     NotConnected,
-    /// It was recalled before its first byte went out.
+    /// The attempt was cancelled before the first byte was sent.
     NeverSent,
-    /// The server said that it did not run.
+    /// The server answered that the set-up did not run.
     Full,
-    /// The server answered with an error: it may have run.
+    /// The server answered with an error. The set-up may have run.
     Error {
-        /// The status.
+        /// Status code of the answer.
         status: u16,
     },
-    /// The connection broke after the first byte: it may have run.
+    /// The connection broke after the first byte was sent. The set-up may have run.
     Reset,
-    /// It was recalled after its first byte: it may have run or be running.
+    /// The attempt was cancelled after the first byte was sent. The set-up may have run or be running.
     Unanswered,
-    /// It could not be taken down that it goes out: it never did.
-    NotKept,
+    /// The attempt's log record could not be persisted, so the request was never sent.
+    NotPersisted,
 }
 
-/// Why a session that played is over.
+/// Reason for the end of a playing session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OverWhy {
-    /// The player said that the content ended.
+pub enum EndReason {
+    /// The player reported the end of the content.
     Ended,
-    /// The player said that the viewer quit.
+    /// The player reported that the viewer quit.
     Quit,
-    /// The player said that it failed.
+    /// The player reported a fatal error.
     Fatal,
-    /// Nothing was heard of it for the settings' time.
+    /// The session's player was silent for the idle timeout.
     Idle,
-    /// Its server lost it.
+    /// The server has lost the session.
     Lost,
 }
 
-/// What happened, as the shell saw it. `A` is what it needs to ask a server, `B` an answer under way.
+/// An event observed by the caller. `A` is the caller's data for building a request to a server, `B` a server's
+/// response.
 #[derive(Debug)]
 pub enum Input<A, B> {
-    /// A request of a session that has no route yet.
+    /// A request arrived for a session that has no route yet.
     Arrived(Arrival<A>),
-    /// A viewer that waited has closed its connection.
-    HungUp {
-        /// Who.
+    /// A waiting viewer closed its connection.
+    Disconnected {
+        /// Viewer that disconnected.
         viewer: ViewerId,
-        /// Of which session.
-        sid: Sid,
+        /// Session that the viewer waited for.
+        sid: SessionId,
     },
-    /// An attempt's answer has begun: the session plays.
+    /// The response to an attempt has begun: the session plays.
     Playing {
-        /// Which attempt.
+        /// Attempt that succeeded.
         attempt: AttemptId,
-        /// What the answer told.
+        /// Load that the server reported in the response.
         load: Load,
-        /// The answer itself.
-        answer: B,
+        /// Response of the server, for the viewer whose request was sent.
+        response: B,
     },
-    /// An attempt ended otherwise. Exactly one of this and `Playing` for each [`Command::Send`]; after a
-    /// recall both may come, the first one counts.
+    /// An attempt ended without a session. The caller reports either this or `Playing` exactly once for each
+    /// [`Command::Send`](super::Command::Send). After a cancellation both may come; the first one counts.
     AttemptEnded {
-        /// Which attempt.
+        /// Attempt that ended.
         attempt: AttemptId,
-        /// What is proven of it.
+        /// Kind of end, with what is proven about the attempt.
         end: AttemptEnd,
-        /// What an answer told.
+        /// Load that the server reported in its response, if any.
         load: Load,
     },
-    /// A later object's answer told the load, and [`crate::Gauge::due`] found it due.
-    Reading {
-        /// The session.
+    /// The response to a later object reported a load that [`crate::ReportThrottle::take_due`] let pass.
+    LoadReport {
+        /// Session that the object belongs to.
         request: RequestId,
-        /// The server.
+        /// Server that answered.
         server: ServerId,
-        /// What it told.
+        /// Reported load.
         load: Load,
     },
-    /// A later object proved that the server has lost the session.
-    Lost {
-        /// The session.
+    /// The request for a later object proved that the server has lost the session.
+    SessionLost {
+        /// Session that was lost.
         request: RequestId,
     },
-    /// The player says that its session is over.
-    Over {
-        /// Which session.
-        sid: Sid,
-        /// Why.
-        why: OverWhy,
-        /// What its server told with it.
+    /// The player reported the end of its session.
+    SessionEnded {
+        /// Session that ended.
+        sid: SessionId,
+        /// Reason for the end.
+        reason: EndReason,
+        /// Load that the server reported at the end.
         load: Load,
     },
-    /// A session plays already, as an earlier life of this front set it up; nobody waits for an answer.
+    /// A session plays already, set up by an earlier incarnation of this front. No viewer waits for an answer.
     Adopted {
-        /// The session; its viewer is not looked at.
+        /// Request of the session. The viewer in it is ignored.
         arrival: Arrival<A>,
-        /// Where it plays.
+        /// Server where the session plays.
         server: ServerId,
     },
-    /// A server's word on a session that plays there.
-    Note {
-        /// The session.
-        sid: Sid,
-        /// What it says.
-        note: Note,
+    /// A server reported on a session that plays there.
+    SessionReport {
+        /// Session that the report is about.
+        sid: SessionId,
+        /// Content of the report.
+        report: Note,
     },
-    /// News of the server list.
-    List(ListNews),
-    /// A peer's answer to a question.
-    Told {
-        /// Whose.
+    /// The server list was updated.
+    ListUpdate(ListUpdate),
+    /// A peer answered a knowledge request.
+    PeerMessage {
+        /// Sender of the message.
         peer: SocketAddr,
-        /// When the question went out.
-        asked_at: Duration,
-        /// What it was asked with.
+        /// Time at which the knowledge request was sent.
+        requested_at: Duration,
+        /// Nonce of the knowledge request.
         nonce: u64,
-        /// The answer.
+        /// Message received.
         message: Box<Message>,
     },
-    /// The clock that all fronts share is so far ahead of this one's; before anything else.
-    Clock(Duration),
-    /// What another front read of a server and told at once.
-    Heard(cloverhollow::Heard),
-    /// How many fronts there are at the most, itself included, by a count that holds now; `None`: none holds any more.
-    /// Where fronts are not counted it never comes, and the settings' number holds.
-    Counted {
-        /// See above.
+    /// Offset by which the clock shared by all fronts is ahead of this front's clock. Comes before any other input.
+    ClockOffset(Duration),
+    /// Another front observed a server and reported it at once.
+    PeerReport(cloverhollow::Heard),
+    /// The bound on the number of fronts has changed. Where fronts are not counted by leases this never comes,
+    /// and the number in the settings applies.
+    FleetSize {
+        /// Upper bound on the number of fronts, this one included; `None` if no count is valid at the moment.
         fronts: Option<usize>,
     },
-    /// The message that this front itself kept before its start.
-    Remembered(Box<Message>),
-    /// What is proven of this front's earlier lives; before anything else, or never.
+    /// The knowledge message that this front persisted before its restart.
+    PersistedKnowledge(Box<Message>),
+    /// History recovered from the write-ahead logs of this front's earlier incarnations. Comes before any other
+    /// input, or never.
     Recovered(Box<Recovered>),
 }
--- a/crates/session/src/types/mod.rs
+++ b/crates/session/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! The vocabulary between a shell and the [`crate::Core`].
+//! Types that pass between the caller and the [`crate::Core`].
 
 mod commands;
 mod inputs;
@@ -10,19 +10,19 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A playback session as its player names it (CMCD `sid`).
-pub type Sid = Arc<str>;
+/// Name of a playback session, as given by its player (CMCD `sid`).
+pub type SessionId = Arc<str>;
 
-/// One request of a viewer that waits for its answer; the shell never uses a number twice.
+/// Identifies one waiting request of a viewer. The caller never reuses a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ViewerId(pub u64);
 
-/// One attempt at setting a session up.
+/// Identifies one attempt to set a session up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The session, as the decision module names it.
+    /// Session, as numbered for the policy.
     pub request: RequestId,
-    /// Its number within the session, from 0.
+    /// Number of the attempt within the session, from 0.
     pub number: u32,
 }
 
@@ -32,87 +32,90 @@
     }
 }
 
-/// What a server's answer told of its load.
+/// Load that a server reported in a response. A field is `None` if the response did not contain it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// What is asked of its link over what the link gives.
+    /// Demand on the server's link divided by the capacity of the link.
     pub link: Option<f64>,
-    /// The same for its rack's uplink.
+    /// Demand on the uplink of the server's rack divided by the capacity of the uplink.
     pub rack: Option<f64>,
-    /// The share of its rate that the session gets, 1 at most.
+    /// Fraction of its bit rate that the session receives, at most 1.
     pub share: Option<f64>,
 }
 
 impl Load {
-    /// As the decision module takes it with an attempt's end.
+    /// Converts this load to the policy's form, which has no session share.
     pub(crate) fn report(self) -> Report {
         Report { link: self.link, rack: self.rack }
     }
 }
 
-/// Why a viewer gets no session, as a token for `CMSD-Dynamic`.
+/// Reason for which a viewer gets no session. Sent as a token in `CMSD-Dynamic`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Reason {
-    /// No server with room at any rung, or none left to try.
+pub enum RejectReason {
+    /// No server has room at any usable rung, or none is left to try.
     NoRoom,
-    /// No server is known that takes new work.
+    /// No known server accepts new sessions.
     NoServers,
-    /// The front holds as many sessions as it may.
+    /// The front holds its maximum number of sessions.
     FrontFull,
-    /// Too many requests of this session wait already.
+    /// Too many requests already wait for this session.
     TooManyWaiting,
-    /// The session was set up before and may not be set up again.
-    SetUpBefore,
-    /// An attempt may have run, its answer did not come.
+    /// The paid session may have been set up before and must not be set up again.
+    AlreadySetUp,
+    /// An attempt may have run, and no answer arrived.
     Unanswered,
-    /// An attempt may have run and failed.
+    /// An attempt may have run, and the server answered with an error or broke the connection.
     ServerFailed,
-    /// The request's own time was up while the session was being set up.
-    TimeUp,
-    /// It cannot be taken down that a set-up goes out: none does.
-    NotKept,
-    /// This front came back and cannot prove which paid sessions its last life set up.
-    Unproven,
+    /// The viewer's own deadline passed while the session was being set up.
+    DeadlineExceeded,
+    /// The log record of a set-up could not be persisted, so no set-up was sent.
+    NotPersisted,
+    /// After a restart the front cannot prove which paid sessions its previous incarnation set up.
+    HistoryUnknown,
 }
 
-impl Reason {
-    /// All of them, in the order of their counts.
-    pub const ALL: [Reason; 10] = [
-        Reason::NoRoom,
-        Reason::NoServers,
-        Reason::FrontFull,
-        Reason::TooManyWaiting,
-        Reason::SetUpBefore,
-        Reason::Unanswered,
-        Reason::ServerFailed,
-        Reason::TimeUp,
-        Reason::NotKept,
-        Reason::Unproven,
+impl RejectReason {
+    /// All reasons, in the order of their counters in [`crate::Stats`].
+    pub const ALL: [RejectReason; 10] = [
+        RejectReason::NoRoom,
+        RejectReason::NoServers,
+        RejectReason::FrontFull,
+        RejectReason::TooManyWaiting,
+        RejectReason::AlreadySetUp,
+        RejectReason::Unanswered,
+        RejectReason::ServerFailed,
+        RejectReason::DeadlineExceeded,
+        RejectReason::NotPersisted,
+        RejectReason::HistoryUnknown,
     ];
 
-    /// Its token.
+    /// Token of this reason in headers, logs and metrics.
     pub fn token(self) -> &'static str {
         match self {
-            Reason::NoRoom => "no-room",
-            Reason::NoServers => "no-servers",
-            Reason::FrontFull => "front-full",
-            Reason::TooManyWaiting => "too-many-waiting",
-            Reason::SetUpBefore => "set-up-before",
-            Reason::Unanswered => "unanswered",
-            Reason::ServerFailed => "server-failed",
-            Reason::TimeUp => "time-up",
-            Reason::NotKept => "not-kept",
-            Reason::Unproven => "unproven",
+            RejectReason::NoRoom => "no-room",
+            RejectReason::NoServers => "no-servers",
+            RejectReason::FrontFull => "front-full",
+            RejectReason::TooManyWaiting => "too-many-waiting",
+            RejectReason::AlreadySetUp => "set-up-before",
+            RejectReason::Unanswered => "unanswered",
+            RejectReason::ServerFailed => "server-failed",
+            RejectReason::DeadlineExceeded => "time-up",
+            RejectReason::NotPersisted => "not-kept",
+            RejectReason::HistoryUnknown => "unproven",
         }
     }
 }
 
-/// How many of each are kept: flat over the months, or there is a leak.
+/// Numbers of retained items. Growth over a long time is a leak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs)] // the names say it
-pub struct Kept {
+pub struct RetainedCounts {
+    /// Servers on the list, those that are gone included.
     pub servers: usize,
-    pub gauges: usize,
+    /// Report throttles, one for each server with a session since its listing.
+    pub report_throttles: usize,
+    /// Sessions being set up or playing.
     pub sessions: usize,
+    /// Armed timers.
     pub timers: usize,
 }
--- a/crates/session/tests/bounds.rs
+++ b/crates/session/tests/bounds.rs
@@ -20,7 +20,7 @@
     ids.map(|id| ServerEntry { id, ..server(1, state) }).collect()
 }
 
-const MOST: u64 = MOST_SERVERS as u64;
+const MOST: u64 = MAX_SERVERS as u64;
 
 /// Patches added servers without end: a message was bounded, the list was not.
 #[test]
@@ -28,16 +28,16 @@
     let mut core: Core<_, u32, &'static str> = Core::new(Nobody, settings(SETTINGS), 1);
     core.step(DAY, [list(ListMode::Whole, named(0..MOST, WireState::Serving))]);
     core.step(DAY + ms(1), [list(ListMode::Patch, named(MOST..MOST + 10, WireState::Serving))]);
-    assert_eq!((core.check(), core.list().serving()), (Ok(()), MOST_SERVERS));
+    assert_eq!((core.check(), core.server_list().serving_count()), (Ok(()), MAX_SERVERS));
     // What is known is heard of all the same, and whoever goes makes room.
     core.step(DAY + ms(2), [list(ListMode::Patch, named(0..10, WireState::Gone))]);
     core.step(DAY + ms(3), [list(ListMode::Patch, named(MOST..MOST + 11, WireState::Serving))]);
-    assert_eq!((core.check(), core.list().serving()), (Ok(()), MOST_SERVERS));
+    assert_eq!((core.check(), core.server_list().serving_count()), (Ok(()), MAX_SERVERS));
     // A whole list of others takes the place of them all.
     core.step(DAY + ms(4), [list(ListMode::Whole, named(2 * MOST..3 * MOST, WireState::Serving))]);
     assert_eq!(
-        (core.check(), core.list().serving(), core.list().len()),
-        (Ok(()), MOST_SERVERS, MOST_SERVERS)
+        (core.check(), core.server_list().serving_count(), core.server_list().len()),
+        (Ok(()), MAX_SERVERS, MAX_SERVERS)
     );
 }
 
@@ -55,5 +55,5 @@
     assert_eq!(core.check(), Ok(()));
     let last = 3 * MOST - 1;
     core.step(DAY + ms(10), [list(ListMode::Stale, named(last..last + 1, WireState::Serving))]);
-    assert_eq!(core.list().serving(), 0);
+    assert_eq!(core.server_list().serving_count(), 0);
 }
--- a/crates/session/tests/common/mod.rs
+++ b/crates/session/tests/common/mod.rs
@@ -41,7 +41,7 @@
         id,
         key: None,
         address: ([127, 0, 0, 1], 9000 + id as u16).into(),
-        hall: String::new(),
+        zone: String::new(),
         kind: String::new(),
         cell: 0,
         weight: 1.0,
@@ -52,7 +52,7 @@
 }
 
 pub fn list<A, B>(mode: ListMode, servers: Vec<ServerEntry>) -> Input<A, B> {
-    Input::List(ListNews { mode, version: 1, entries: servers })
+    Input::ListUpdate(ListUpdate { mode, version: 1, entries: servers })
 }
 
 pub fn serving(n: u64) -> Input<u32, &'static str> {
@@ -75,7 +75,7 @@
 /// What is taken down for later lives.
 pub fn kept(commands: &[Command<u32, &'static str>]) -> Vec<Deed> {
     let deed = |c: &Command<u32, &'static str>| match c {
-        Command::Keep(deed) => Some(deed.clone()),
+        Command::Persist(deed) => Some(deed.clone()),
         _ => None,
     };
     commands.iter().filter_map(deed).collect()
@@ -83,18 +83,21 @@
 
 /// Commands as words, for comparing; without what is taken down.
 pub fn words(commands: &[Command<u32, &'static str>]) -> Vec<String> {
-    let done = (commands.iter())
-        .filter(|c| !matches!(c, Command::Keep(_) | Command::Over { .. } | Command::Rung { .. }));
+    let done = (commands.iter()).filter(|c| {
+        !matches!(c, Command::Persist(_) | Command::SessionEnded { .. } | Command::RungChanged { .. })
+    });
     done.map(|c| match c {
         Command::Send(s) => format!("send {} {}", s.sid, s.attempt),
-        Command::Recall { attempt, why } => format!("recall {attempt} {why:?}"),
-        Command::Keep(_) | Command::Over { .. } | Command::Rung { .. } => unreachable!("left out"),
+        Command::Cancel { attempt, reason: why } => format!("cancel {attempt} {why:?}"),
+        Command::Persist(_) | Command::SessionEnded { .. } | Command::RungChanged { .. } => {
+            unreachable!("left out")
+        }
         Command::Release { sid, .. } => format!("release {sid}"),
-        Command::Merged { outcome, .. } => format!("merged {}", outcome.is_ok()),
+        Command::KnowledgeMerged { outcome, .. } => format!("merged {}", outcome.is_ok()),
         Command::Answer { viewer, answer } => {
             let v = viewer.0;
             match answer {
-                Answer::Stream { answer, .. } => format!("{v} stream {answer}"),
+                Answer::Stream { response: answer, .. } => format!("{v} stream {answer}"),
                 Answer::Follow(_) => format!("{v} follow"),
                 Answer::Refused { reason, .. } => format!("{v} refused {}", reason.token()),
                 Answer::Failed { reason, .. } => format!("{v} failed {}", reason.token()),
@@ -113,7 +116,7 @@
 }
 
 pub fn playing(attempt: AttemptId) -> Input<u32, &'static str> {
-    Input::Playing { attempt, load: Load::default(), answer: "body" }
+    Input::Playing { attempt, load: Load::default(), response: "body" }
 }
 
 pub fn ended(attempt: AttemptId, end: AttemptEnd) -> Input<u32, &'static str> {
--- a/crates/session/tests/core.rs
+++ b/crates/session/tests/core.rs
@@ -24,10 +24,10 @@
     assert_eq!((route.server, route.kbps()), (setup.server, 16_000));
     // A later request of the same session that raced its route follows.
     assert_eq!(words(&core.step(DAY + ms(30), [call(2, "s", "clip")])), ["2 follow"]);
-    route.touch(DAY + ms(4000));
+    route.record_activity(DAY + ms(4000));
     assert!(core.step(DAY + ms(5100), []).is_empty(), "heard of 1.1 s ago");
     assert_eq!(words(&core.step(DAY + ms(9001), [])), ["release s"]);
-    assert!(core.routes().is_empty() && core.held() == 0);
+    assert!(core.routes().is_empty() && core.session_count() == 0);
 }
 
 /// Found by a hunt with wires between fronts and servers cut: a player that waited for an object of a silent server was
@@ -37,7 +37,7 @@
     let (mut core, setup) = one_out("clip");
     core.step(DAY + ms(20), [playing(setup.attempt)]);
     let route = core.routes().get("s").expect("routed").clone();
-    let fetching = route.fetch();
+    let fetching = route.begin_fetch();
     for s in 1..=20 {
         assert!(core.step(DAY + ms(s * 1_000), []).is_empty(), "an object is under way");
     }
@@ -49,16 +49,18 @@
 fn the_players_word_ends_its_session() {
     let (mut core, setup) = one_out("clip");
     core.step(DAY + ms(20), [playing(setup.attempt)]);
-    let out =
-        core.step(DAY + ms(40), [Input::Over { sid: "s".into(), why: OverWhy::Quit, load: Load::default() }]);
+    let out = core.step(
+        DAY + ms(40),
+        [Input::SessionEnded { sid: "s".into(), reason: EndReason::Quit, load: Load::default() }],
+    );
     assert_eq!(words(&out), ["release s"]);
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.session_count(), 0);
 }
 
 #[test]
 fn an_answer_in_the_same_instant_as_its_time_out_counts() {
     let (mut core, setup) = one_out("clip");
-    let due = core.next_due().unwrap();
+    let due = core.next_deadline().unwrap();
     let out = core.step(due, [playing(setup.attempt)]);
     assert_eq!(words(&out), ["1 stream body"]);
 }
@@ -66,17 +68,17 @@
 #[test]
 fn an_answer_between_recall_and_its_word_counts_and_the_word_does_not() {
     let (mut core, setup) = one_out("clip");
-    let due = core.next_due().unwrap();
-    assert_eq!(words(&core.step(due, [])), [format!("recall {} TimedOut", setup.attempt)]);
+    let due = core.next_deadline().unwrap();
+    assert_eq!(words(&core.step(due, [])), [format!("cancel {} TimedOut", setup.attempt)]);
     let out = core.step(due, [playing(setup.attempt), ended(setup.attempt, AttemptEnd::Unanswered)]);
     assert_eq!(words(&out), ["1 stream body"]);
-    assert_eq!(core.held(), 1);
+    assert_eq!(core.session_count(), 1);
 }
 
 #[test]
 fn a_late_answer_after_its_end_is_dropped_and_the_server_told() {
     let (mut core, setup) = one_out("clip");
-    let due = core.next_due().unwrap();
+    let due = core.next_deadline().unwrap();
     core.step(due, []);
     let out = core.step(due, [ended(setup.attempt, AttemptEnd::Unanswered)]);
     assert_eq!(words(&out)[0], "release s");
@@ -119,7 +121,7 @@
 fn a_paid_session_that_played_is_not_set_up_again_after_its_end() {
     let (mut core, setup) = one_out("paid");
     core.step(DAY + ms(10), [playing(setup.attempt)]);
-    core.step(DAY + ms(20), [Input::Lost { request: setup.attempt.request }]);
+    core.step(DAY + ms(20), [Input::SessionLost { request: setup.attempt.request }]);
     assert_eq!(words(&core.step(DAY + ms(30), [call(2, "s", "paid")])), ["2 failed set-up-before"]);
 }
 
@@ -141,14 +143,14 @@
 #[test]
 fn a_viewer_who_hangs_up_has_its_attempt_recalled_and_gets_nothing() {
     let (mut core, setup) = one_out("paid");
-    let out = core.step(DAY + ms(10), [Input::HungUp { viewer: ViewerId(1), sid: "s".into() }]);
-    assert_eq!(words(&out), [format!("recall {} HungUp", setup.attempt)]);
+    let out = core.step(DAY + ms(10), [Input::Disconnected { viewer: ViewerId(1), sid: "s".into() }]);
+    assert_eq!(words(&out), [format!("cancel {} Disconnected", setup.attempt)]);
     let out = core.step(DAY + ms(11), [ended(setup.attempt, AttemptEnd::Unanswered)]);
     assert_eq!(words(&out), ["release s"], "closed at the server, no answer, no further attempt");
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.session_count(), 0);
     // Never sent: nothing is to be closed, and the sid may come again.
     let (mut core, setup) = one_out("paid");
-    core.step(DAY + ms(10), [Input::HungUp { viewer: ViewerId(1), sid: "s".into() }]);
+    core.step(DAY + ms(10), [Input::Disconnected { viewer: ViewerId(1), sid: "s".into() }]);
     assert!(words(&core.step(DAY + ms(11), [ended(setup.attempt, AttemptEnd::NeverSent)])).is_empty());
     sent(&core.step(DAY + ms(20), [call(2, "s", "paid")]));
 }
@@ -156,10 +158,10 @@
 #[test]
 fn a_viewer_who_hangs_up_as_it_begins_to_play_leaves_no_session_behind() {
     let (mut core, setup) = one_out("paid");
-    core.step(DAY + ms(10), [Input::HungUp { viewer: ViewerId(1), sid: "s".into() }]);
+    core.step(DAY + ms(10), [Input::Disconnected { viewer: ViewerId(1), sid: "s".into() }]);
     let out = core.step(DAY + ms(11), [playing(setup.attempt), ended(setup.attempt, AttemptEnd::Unanswered)]);
     assert_eq!(words(&out), ["release s"]);
-    assert_eq!((core.held(), core.routes().len()), (0, 0));
+    assert_eq!((core.session_count(), core.routes().len()), (0, 0));
 }
 
 #[test]
@@ -169,7 +171,7 @@
     assert_eq!(words(&out).iter().filter(|w| w.starts_with("send")).count(), 1);
     let setup = sent(&out);
     // The first one hangs up: the second still wants it, on the same attempt.
-    let out = core.step(DAY + ms(5), [Input::HungUp { viewer: ViewerId(1), sid: "s".into() }]);
+    let out = core.step(DAY + ms(5), [Input::Disconnected { viewer: ViewerId(1), sid: "s".into() }]);
     assert!(out.is_empty(), "{:?}", words(&out));
     assert_eq!(words(&core.step(DAY + ms(9), [playing(setup.attempt)])), ["2 follow"]);
 }
@@ -190,7 +192,7 @@
     let (mut core, setup) = one_out("paid");
     let drains = list(ListMode::Patch, vec![server(setup.server, WireState::Draining)]);
     let out = core.step(DAY + ms(5), [drains]);
-    assert_eq!(words(&out), [format!("recall {} Drained", setup.attempt)]);
+    assert_eq!(words(&out), [format!("cancel {} Drained", setup.attempt)]);
     let out = core.step(DAY + ms(6), [ended(setup.attempt, AttemptEnd::NeverSent)]);
     let again = sent(&out);
     assert_ne!(again.server, setup.server, "and is set up elsewhere, though paid: it never ran");
--- a/crates/session/tests/days.rs
+++ b/crates/session/tests/days.rs
@@ -12,7 +12,7 @@
 
 /// What is known of one attempt outside the core.
 struct Out {
-    sid: Sid,
+    sid: SessionId,
     paid: bool,
     server: u64,
     /// Whether its first byte has gone out.
@@ -24,11 +24,11 @@
     core: TestCore,
     now: Duration,
     /// Viewers that wait, with their session.
-    waiting: BTreeMap<u64, Sid>,
+    waiting: BTreeMap<u64, SessionId>,
     answered: BTreeMap<u64, u32>,
     out: BTreeMap<AttemptId, Out>,
     /// How often a paid session may have run.
-    ran: BTreeMap<Sid, u32>,
+    ran: BTreeMap<SessionId, u32>,
     stopped: BTreeSet<u64>,
     /// Viewers that hung up.
     left: BTreeSet<u64>,
@@ -54,7 +54,7 @@
     fn step(&mut self, inputs: Vec<Input<u32, &'static str>>) {
         let mut next = inputs;
         // What the shell answers at once goes into the next step, as in the daemon.
-        while !next.is_empty() || self.core.next_due().is_some_and(|due| due <= self.now) {
+        while !next.is_empty() || self.core.next_deadline().is_some_and(|due| due <= self.now) {
             let commands = self.core.step(self.now, std::mem::take(&mut next));
             assert_eq!(self.core.check(), Ok(()));
             for command in commands {
@@ -73,11 +73,11 @@
                 self.out.insert(s.attempt, Out { sid: s.sid, paid, server: s.server, went: false });
                 None
             }
-            Command::Keep(_) => None,
-            Command::Recall { attempt, why } => {
+            Command::Persist(_) => None,
+            Command::Cancel { attempt, reason: why } => {
                 let out = self.out.get(&attempt)?;
                 let end = match (out.went, why) {
-                    (true, RecallWhy::Drained) => return None,
+                    (true, CancelReason::Drained) => return None,
                     (true, _) => AttemptEnd::Unanswered,
                     (false, _) => AttemptEnd::NeverSent,
                 };
@@ -92,16 +92,18 @@
                 let sid = self.waiting.remove(&viewer.0).expect("rule 1: an answer to one who does not wait");
                 *self.answered.entry(viewer.0).or_default() += 1;
                 let ran = self.ran.get(&sid).copied().unwrap_or(0);
-                let refused =
-                    matches!(answer, Answer::Refused { reason: Reason::NoRoom | Reason::NoServers, .. });
+                let refused = matches!(
+                    answer,
+                    Answer::Refused { reason: RejectReason::NoRoom | RejectReason::NoServers, .. }
+                );
                 assert!(
                     !(refused && ran > 0 && sid.starts_with("paid")),
                     "rule 2: {sid} refused after it ran"
                 );
                 None
             }
-            Command::Release { .. } | Command::Merged { .. } => None,
-            Command::Over { .. } | Command::Rung { .. } => None,
+            Command::Release { .. } | Command::KnowledgeMerged { .. } => None,
+            Command::SessionEnded { .. } | Command::RungChanged { .. } => None,
         }
     }
 
@@ -160,7 +162,7 @@
         if self.rng.random_range(0..10) == 0 {
             if let Some((v, sid)) = self.waiting.pop_first() {
                 self.left.insert(v);
-                inputs.push(Input::HungUp { viewer: ViewerId(v), sid });
+                inputs.push(Input::Disconnected { viewer: ViewerId(v), sid });
             }
         }
         if self.rng.random_range(0..12) == 0 {
--- a/crates/session/tests/ends.rs
+++ b/crates/session/tests/ends.rs
@@ -22,7 +22,7 @@
 fn time_out(class: &str) -> Duration {
     let mut front = Front::new("alone".into(), class);
     loop {
-        front.now = front.core.next_due().unwrap();
+        front.now = front.core.next_deadline().unwrap();
         if !front.step(vec![]).is_empty() {
             return front.now;
         }
--- a/crates/session/tests/found.rs
+++ b/crates/session/tests/found.rs
@@ -19,7 +19,10 @@
     let arrival = arrival(&s, 1, "/club/paid/t1/0", "sid=\"s\",su");
     core.step(DAY, [serving(2), Input::Adopted { arrival, server: 1 }]);
     looked(&core);
-    core.step(DAY + ms(10), [Input::Over { sid: "s".into(), why: OverWhy::Ended, load: Load::default() }]);
+    core.step(
+        DAY + ms(10),
+        [Input::SessionEnded { sid: "s".into(), reason: EndReason::Ended, load: Load::default() }],
+    );
     assert_eq!(words(&core.step(DAY + ms(20), [call(2, "s", "paid")])), ["2 failed set-up-before"]);
 }
 
@@ -29,13 +32,13 @@
 fn a_viewer_who_hangs_up_after_the_time_out_leaves_no_session_behind() {
     let mut core = core();
     let setup = sent(&core.step(DAY, [serving(3), call(1, "s", "clip")]));
-    let due = core.next_due().unwrap();
-    assert_eq!(words(&core.step(due, [])), [format!("recall {} TimedOut", setup.attempt)]);
-    let left = Input::HungUp { viewer: ViewerId(1), sid: "s".into() };
+    let due = core.next_deadline().unwrap();
+    assert_eq!(words(&core.step(due, [])), [format!("cancel {} TimedOut", setup.attempt)]);
+    let left = Input::Disconnected { viewer: ViewerId(1), sid: "s".into() };
     let out = core.step(due, [left, ended(setup.attempt, AttemptEnd::Unanswered)]);
     assert_eq!(words(&out), ["release s"]);
     looked(&core);
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.session_count(), 0);
     sent(&core.step(due + ms(20), [call(2, "s", "clip")]));
 }
 
@@ -46,13 +49,13 @@
     let mut core = core();
     let setup = sent(&core.step(DAY, [serving(3), call(1, "s", "clip")]));
     let hasty = arrival(&settings(SETTINGS), 2, "/club/clip/t1/0", "sid=\"s\",su,dl=300");
-    let left = Input::HungUp { viewer: ViewerId(1), sid: "s".into() };
+    let left = Input::Disconnected { viewer: ViewerId(1), sid: "s".into() };
     assert!(core.step(DAY + ms(10), [Input::Arrived(hasty), left]).is_empty());
     let out = words(&core.step(DAY + ms(260), []));
-    assert_eq!(out, ["2 failed time-up".to_string(), format!("recall {} HungUp", setup.attempt)]);
+    assert_eq!(out, ["2 failed time-up".to_string(), format!("cancel {} Disconnected", setup.attempt)]);
     looked(&core);
     core.step(DAY + ms(261), [ended(setup.attempt, AttemptEnd::Unanswered)]);
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.session_count(), 0);
 }
 
 /// A player that closes its connection and asks again at once, as at a reload: its second request joined the session that
@@ -62,9 +65,9 @@
     let again = |class: &str, end: AttemptEnd| {
         let mut core = core();
         let setup = sent(&core.step(DAY, [serving(3), call(1, "s", class)]));
-        let left = Input::HungUp { viewer: ViewerId(1), sid: "s".into() };
+        let left = Input::Disconnected { viewer: ViewerId(1), sid: "s".into() };
         let out = core.step(DAY + ms(10), [left, call(2, "s", class)]);
-        assert_eq!(words(&out), [format!("recall {} HungUp", setup.attempt)]);
+        assert_eq!(words(&out), [format!("cancel {} Disconnected", setup.attempt)]);
         looked(&core);
         let out = core.step(DAY + ms(11), [ended(setup.attempt, end)]);
         looked(&core);
@@ -72,13 +75,13 @@
     };
     let (mut core, out) = again("clip", AttemptEnd::Unanswered);
     let setup = sent(&out);
-    assert_eq!(setup.ask, 2, "the second request is the one that is sent");
+    assert_eq!(setup.payload, 2, "the second request is the one that is sent");
     assert_eq!(words(&core.step(DAY + ms(30), [playing(setup.attempt)])), ["2 stream body"]);
     let (_, out) = again("paid", AttemptEnd::NeverSent);
     sent(&out);
     let (core, out) = again("paid", AttemptEnd::Unanswered);
     assert_eq!(words(&out), ["release s", "2 failed set-up-before"], "it may have run");
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.session_count(), 0);
 }
 
 /// Sends each call twice, then refuses it.
@@ -103,7 +106,7 @@
     assert_eq!(core.check(), Ok(()));
     assert_eq!(words(&out), ["send s 1.0"]);
     core.step(DAY + ms(10), [playing(sent(&out).attempt)]);
-    assert_eq!((core.check(), core.held()), (Ok(()), 1));
+    assert_eq!((core.check(), core.session_count()), (Ok(()), 1));
 }
 
 /// Sends to a server that nobody knows, whenever it is told that this never ran.
@@ -125,5 +128,5 @@
 fn more_attempts_than_any_settings_allow_are_named() {
     let mut core = Core::new(Stubborn, settings(SETTINGS), 1);
     core.step(DAY, [serving(2), call(1, "s", "clip")]);
-    assert_eq!(core.check(), Err(Broken::Attempts { sid: "s".into(), sent: 20 }));
+    assert_eq!(core.check(), Err(InvariantViolation::AttemptBound { sid: "s".into(), begun: 20 }));
 }
--- a/crates/session/tests/halves.rs
+++ b/crates/session/tests/halves.rs
@@ -10,7 +10,7 @@
 fn a_servers_answer_waits_for_no_decision() {
     let mut core = core();
     let setup = sent(&core.step(DAY, [serving(3), call(1, "one", "clip")]));
-    let first = core.take_in(DAY + ms(20), [playing(setup.attempt), call(2, "two", "clip")]);
+    let first = core.process_inputs(DAY + ms(20), [playing(setup.attempt), call(2, "two", "clip")]);
     assert_eq!(words(&first), ["1 stream body"], "and nothing of the second, which the module has not seen");
     assert_eq!(&*sent(&core.decide()).sid, "two");
     assert!(core.decide().is_empty(), "all was decided");
@@ -23,7 +23,7 @@
     let (mut one, mut two) = (core(), core());
     let inputs = || [serving(3), call(1, "one", "clip"), call(2, "two", "paid")];
     let whole = one.step(DAY, inputs());
-    let mut halves = two.take_in(DAY, inputs());
+    let mut halves = two.process_inputs(DAY, inputs());
     halves.extend(two.decide());
     assert_eq!(format!("{whole:?}"), format!("{halves:?}"));
     assert_eq!(whole.len(), 2);
--- a/crates/session/tests/learning.rs
+++ b/crates/session/tests/learning.rs
@@ -15,14 +15,14 @@
 }
 
 fn versioned(version: u64, servers: Vec<ServerEntry>) -> Input<u32, &'static str> {
-    Input::List(ListNews { mode: ListMode::Whole, version, entries: servers })
+    Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version, entries: servers })
 }
 
 /// Passes what `from` knows to `to`, whose clock says `now`.
 fn tell(from: &TestCore, from_now: Duration, to: &mut TestCore, now: Duration) -> Vec<String> {
-    let message = from.shelf().view().message(from_now, 9, None, Level::Warm, Vec::new());
+    let message = from.knowledge_snapshot().latest().message(from_now, 9, None, Level::Warm, Vec::new());
     let peer = ([127, 0, 0, 1], 1).into();
-    let told = Input::Told { peer, asked_at: now, nonce: 9, message: Box::new(message) };
+    let told = Input::PeerMessage { peer, requested_at: now, nonce: 9, message: Box::new(message) };
     words(&to.step(now, [told]))
 }
 
@@ -83,7 +83,7 @@
     let setups = out.iter().filter_map(|c| if let Command::Send(s) = c { Some(s) } else { None });
     let playing = setups.map(|s| {
         let load = Load { link: Some(if s.server == 1 { 1.4 } else { 0.1 }), ..Load::default() };
-        Input::Playing { attempt: s.attempt, load, answer: "" }
+        Input::Playing { attempt: s.attempt, load, response: "" }
     });
     old.step(DAY + ms(1), playing.collect::<Vec<_>>());
     tell(&old, DAY + ms(100), &mut new, DAY + ms(100));
@@ -118,12 +118,12 @@
     old.step(DAY, [versioned(8, servers)]);
     let s = sent(&old.step(DAY, [call(1, "o", "clip")]));
     old.step(DAY + ms(5), [ended(s.attempt, AttemptEnd::NotConnected)]);
-    let kept = old.shelf().view().message(DAY + ms(9), 0, None, Level::Warm, Vec::new());
+    let kept = old.knowledge_snapshot().latest().message(DAY + ms(9), 0, None, Level::Warm, Vec::new());
     // The same front, started again with an older list, its clock a year on: the drain counts, the failure
     // of who knows when does not.
     let mut new = core_named("front-1", 2);
     let later = DAY * 366;
-    new.step(later, [versioned(5, all(2, WireState::Serving)), Input::Remembered(Box::new(kept))]);
+    new.step(later, [versioned(5, all(2, WireState::Serving)), Input::PersistedKnowledge(Box::new(kept))]);
     assert_eq!(sent(&new.step(later + ms(5), [call(1, "n", "clip")])).server, 2);
 }
 
@@ -132,9 +132,13 @@
     let (mut old, mut new) = (core_named("front-1", 1), core_named("front-2", 1));
     old.step(DAY, [versioned(8, all(1, WireState::Gone))]);
     new.step(DAY, [versioned(5, all(1, WireState::Serving))]);
-    let message = old.shelf().view().message(DAY, 9, None, Level::Warm, Vec::new());
-    let told =
-        |nonce, message| Input::Told { peer: ([127, 0, 0, 1], 1).into(), asked_at: DAY, nonce, message };
+    let message = old.knowledge_snapshot().latest().message(DAY, 9, None, Level::Warm, Vec::new());
+    let told = |nonce, message| Input::PeerMessage {
+        peer: ([127, 0, 0, 1], 1).into(),
+        requested_at: DAY,
+        nonce,
+        message,
+    };
     assert_eq!(words(&new.step(DAY, [told(8, Box::new(message.clone()))])), ["merged false"]);
     let other = cloverhollow_knowledge::wire::Message { fleet: 1, ..message };
     assert_eq!(words(&new.step(DAY, [told(9, Box::new(other))])), ["merged false"]);
--- a/crates/session/tests/lives.rs
+++ b/crates/session/tests/lives.rs
@@ -40,13 +40,13 @@
     core.step(DAY, [serving(2)]);
     let setup = sent(&core.step(DAY, [call(1, "one", "paid")]));
     let server = setup.server;
-    assert_eq!(setup.deed, Some(Deed::Out { sid: "one".into(), server, paid: true, further: false }));
+    assert_eq!(setup.log_record, Some(Deed::Out { sid: "one".into(), server, paid: true, further: false }));
     let commands = core.step(DAY + ms(5), [ended(setup.attempt, AttemptEnd::NotConnected)]);
     assert_eq!(kept(&commands), [Deed::Failed { server, failed: true }, Deed::Unrun { sid: digest("one") }]);
     // The next attempt is taken down again, after that.
-    assert!(sent(&commands).deed.is_some());
+    assert!(sent(&commands).log_record.is_some());
     let free = sent(&core.step(DAY + ms(9), [call(2, "two", "clip")]));
-    assert_eq!(free.deed, None, "what no rule counts waits for no disk");
+    assert_eq!(free.log_record, None, "what no rule counts waits for no disk");
 }
 
 #[test]
@@ -109,10 +109,10 @@
         let usual = if recovered.is_some() { ms(200) } else { ms(1_000) };
         core.step(DAY, recovered.map(|r| Input::Recovered(Box::new(r))).into_iter().chain([serving(3)]));
         let setup = sent(&core.step(DAY, [call(1, "one", "clip")]));
-        assert_eq!(setup.until, DAY + usual);
+        assert_eq!(setup.send_deadline, DAY + usual);
         let commands = core.step(DAY + ms(5), [ended(setup.attempt, AttemptEnd::NotConnected)]);
         let second = commands.iter().find_map(|c| match c {
-            Command::Send(s) => Some((s.deed.clone(), s.until)),
+            Command::Send(s) => Some((s.log_record.clone(), s.send_deadline)),
             _ => None,
         });
         if let Some((deed, until)) = &second {
@@ -152,7 +152,7 @@
         _ => None,
     }) {
         rounds += 1;
-        commands = core.step(DAY + ms(rounds), [ended(attempt, AttemptEnd::NotKept)]);
+        commands = core.step(DAY + ms(rounds), [ended(attempt, AttemptEnd::NotPersisted)]);
         assert!(kept(&commands).is_empty(), "there is nothing to take back");
     }
     assert_eq!((rounds, words(&commands)), (3, vec!["1 refused not-kept".to_string()]));
@@ -190,11 +190,11 @@
     let setup = sent(&core.step(DAY, [call(1, "one", "paid")]));
     let later = DAY + Duration::from_secs(3_600);
     let commands = core.step(later, []);
-    assert_eq!(words(&commands), [format!("recall {} TimedOut", setup.attempt)]);
+    assert_eq!(words(&commands), [format!("cancel {} TimedOut", setup.attempt)]);
     let commands = core.step(later, [ended(setup.attempt, AttemptEnd::Unanswered)]);
     assert_eq!(words(&commands), ["release one", "1 failed unanswered"]);
     // What was decided before the jump is too old to be sent.
-    assert!(setup.until < later);
+    assert!(setup.send_deadline < later);
     let again = core.step(later + ms(1), [call(2, "one", "paid")]);
     assert_eq!(words(&again), ["2 failed set-up-before"]);
     assert!(core.step(later + ms(2), []).is_empty());
--- a/crates/session/tests/load/looks.rs
+++ b/crates/session/tests/load/looks.rs
@@ -11,7 +11,7 @@
     pub fn settle(&mut self) {
         while !self.boxed.is_empty()
             || !self.words.is_empty()
-            || self.core.next_due().is_some_and(|due| due <= self.now)
+            || self.core.next_deadline().is_some_and(|due| due <= self.now)
         {
             self.step(self.now);
         }
@@ -43,14 +43,18 @@
                 let twin = self.out.values().any(|o| o.sid == s.sid);
                 assert!(!twin, "rule 2: two attempts out for {}", s.sid);
                 assert!(!self.brain || s.attempt.number < 3, "{} of three attempts", s.attempt);
-                assert_eq!(s.paid, s.deed.is_some(), "what later lives must know of is taken down first");
+                assert_eq!(
+                    s.paid,
+                    s.log_record.is_some(),
+                    "what later lives must know of is taken down first"
+                );
                 let out = Out { sid: s.sid, paid: s.paid, went: false, recalled: false };
                 self.out.insert(s.attempt, out);
             }
-            Command::Recall { attempt, why } => {
+            Command::Cancel { attempt, reason: why } => {
                 let Some(out) = self.out.get_mut(&attempt).filter(|o| !o.recalled) else { return };
                 let end = match (out.went, why) {
-                    (true, RecallWhy::Drained) => return,
+                    (true, CancelReason::Drained) => return,
                     (true, _) => AttemptEnd::Unanswered,
                     (false, _) => AttemptEnd::NeverSent,
                 };
@@ -69,17 +73,21 @@
                     assert_eq!(route.sid, sid);
                 }
             }
-            Command::Merged { .. } | Command::Keep(_) | Command::Rung { .. } => {}
-            Command::Release { .. } | Command::Over { .. } => {}
+            Command::KnowledgeMerged { .. } | Command::Persist(_) | Command::RungChanged { .. } => {}
+            Command::Release { .. } | Command::SessionEnded { .. } => {}
         }
     }
 
     /// What must hold whatever happened, beside what each step is looked at for.
     pub fn agrees(&self, known: &Known) {
         if self.boxed.is_empty() {
-            assert_eq!(self.core.list().serving(), known.serving(), "servers that take new work");
+            assert_eq!(
+                self.core.server_list().serving_count(),
+                known.serving(),
+                "servers that take new work"
+            );
         }
-        assert!(self.core.held() <= MOST);
+        assert!(self.core.session_count() <= MOST);
     }
 
     /// Nothing comes any more: what is out ends, who waits is answered, who plays is idle, and nothing is left.
@@ -93,8 +101,12 @@
         self.happens(Happens::Passes(20_000));
         assert!(self.waiting.is_empty(), "rule 1: {:?} never answered", self.waiting);
         assert!(self.out.is_empty(), "attempts that nobody ended");
-        let kept = self.core.kept();
-        assert_eq!((self.core.held(), self.core.routes().len(), kept.timers), (0, 0, 0), "left behind");
+        let kept = self.core.retained_counts();
+        assert_eq!(
+            (self.core.session_count(), self.core.routes().len(), kept.timers),
+            (0, 0, 0),
+            "left behind"
+        );
         (self.steps, self.answers)
     }
 }
--- a/crates/session/tests/load/mod.rs
+++ b/crates/session/tests/load/mod.rs
@@ -5,7 +5,7 @@
 pub mod wild;
 
 use cloverhollow::ListMode;
-use cloverhollow_session::{AttemptEnd, OverWhy, WireState};
+use cloverhollow_session::{AttemptEnd, EndReason, WireState};
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,7 +38,7 @@
     Ends(usize, AttemptEnd),
     /// An attempt that is booked already plays, or ends.
     Late(usize, bool),
-    Over(usize, OverWhy),
+    Over(usize, EndReason),
     Lost(usize),
     Reads(usize, f64),
     Notes(usize, usize),
@@ -92,7 +92,7 @@
         Just(AttemptEnd::Full),
         Just(AttemptEnd::Error { status: 500 }),
         Just(AttemptEnd::Reset),
-        Just(AttemptEnd::NotKept),
+        Just(AttemptEnd::NotPersisted),
     ]
 }
 
@@ -105,8 +105,8 @@
     prop_oneof![3 => 0u32..6, 1 => 0u32..90]
 }
 
-fn over() -> impl Strategy<Value = OverWhy> {
-    prop_oneof![Just(OverWhy::Ended), Just(OverWhy::Quit), Just(OverWhy::Fatal)]
+fn over() -> impl Strategy<Value = EndReason> {
+    prop_oneof![Just(EndReason::Ended), Just(EndReason::Quit), Just(EndReason::Fatal)]
 }
 
 fn listed() -> impl Strategy<Value = Happens> {
--- a/crates/session/tests/load/shell.rs
+++ b/crates/session/tests/load/shell.rs
@@ -19,7 +19,7 @@
 
 /// What is known of one attempt outside the core.
 pub(super) struct Out {
-    pub(super) sid: Sid,
+    pub(super) sid: SessionId,
     pub(super) paid: bool,
     /// Its first byte has gone out.
     pub(super) went: bool,
@@ -36,12 +36,12 @@
     pub(super) next: u64,
     pub(super) version: u64,
     /// Viewers that wait: their session, and until when.
-    pub(super) waiting: BTreeMap<u64, (Sid, Duration)>,
+    pub(super) waiting: BTreeMap<u64, (SessionId, Duration)>,
     pub(super) left: BTreeSet<u64>,
     pub(super) out: BTreeMap<AttemptId, Out>,
     pub(super) booked: Vec<AttemptId>,
     /// Paid sessions that may have run.
-    pub(super) ran: BTreeSet<Sid>,
+    pub(super) ran: BTreeSet<SessionId>,
     pub(super) boxed: Vec<In>,
     /// Words on recalls, for the next step.
     pub(super) words: Vec<In>,
@@ -112,7 +112,7 @@
                 let Some(viewer) = pick(&self.waiting, n, |_| true) else { return };
                 let (sid, _) = self.waiting.remove(&viewer).unwrap();
                 self.left.insert(viewer);
-                self.boxed.push(Input::HungUp { viewer: ViewerId(viewer), sid });
+                self.boxed.push(Input::Disconnected { viewer: ViewerId(viewer), sid });
             }
             Happens::Goes(n) => {
                 let Some(id) = pick(&self.out, n, |o| !o.went && !o.recalled) else { return };
@@ -127,7 +127,7 @@
                 self.boxed.push(playing(id));
             }
             Happens::Ends(n, end) => {
-                let unsent = matches!(end, AttemptEnd::NotConnected | AttemptEnd::NotKept);
+                let unsent = matches!(end, AttemptEnd::NotConnected | AttemptEnd::NotPersisted);
                 let Some(id) = pick(&self.out, n, |o| o.went != unsent && !o.recalled) else { return };
                 let out = self.booked(id);
                 if end == AttemptEnd::Full && out.paid {
@@ -143,28 +143,33 @@
                 self.boxed.push(if plays { playing(id) } else { ended(id, AttemptEnd::Unanswered) });
             }
             Happens::Over(n, why) => {
-                let over = |r: Arc<Route>| Input::Over { sid: r.sid.clone(), why, load: Load::default() };
+                let over = |r: Arc<Route>| Input::SessionEnded {
+                    sid: r.sid.clone(),
+                    reason: why,
+                    load: Load::default(),
+                };
                 let input = self.route(n).map(over);
                 self.boxed.extend(input);
             }
             Happens::Lost(n) => {
-                let input = self.route(n).map(|r| Input::Lost { request: r.request });
+                let input = self.route(n).map(|r| Input::SessionLost { request: r.request });
                 self.boxed.extend(input);
             }
             Happens::Reads(n, x) => {
                 let load = Load { link: Some(x), rack: None, share: Some(1.0 / x.max(1.0)) };
-                let read = |r: Arc<Route>| Input::Reading { request: r.request, server: r.server, load };
+                let read = |r: Arc<Route>| Input::LoadReport { request: r.request, server: r.server, load };
                 let input = self.route(n).map(read);
                 self.boxed.extend(input);
             }
             Happens::Notes(n, rung) => {
-                let note = |r: Arc<Route>| Input::Note { sid: r.sid.clone(), note: Note::Rung(rung) };
+                let note =
+                    |r: Arc<Route>| Input::SessionReport { sid: r.sid.clone(), report: Note::Rung(rung) };
                 let input = self.route(n).map(note);
                 self.boxed.extend(input);
             }
             Happens::Touched(n) => {
                 if let Some(route) = self.route(n) {
-                    route.touch(self.now);
+                    route.record_activity(self.now);
                 }
             }
             Happens::Adopted(sid, paid, server) => {
@@ -178,18 +183,28 @@
                 });
                 self.version += 1;
                 let (version, entries) = (self.version, servers.collect());
-                self.boxed.push(Input::List(ListNews { mode, version, entries }));
+                self.boxed.push(Input::ListUpdate(ListUpdate { mode, version, entries }));
             }
             Happens::Told(id, state) => {
                 let version = self.version + 1;
                 let entries = vec![server(id, state)];
-                self.peer.step(self.now, [Input::List(ListNews { mode: ListMode::Whole, version, entries })]);
-                let message = self.peer.shelf().view().message(self.now, 9, None, Level::Warm, Vec::new());
+                self.peer.step(
+                    self.now,
+                    [Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version, entries })],
+                );
+                let message = self.peer.knowledge_snapshot().latest().message(
+                    self.now,
+                    9,
+                    None,
+                    Level::Warm,
+                    Vec::new(),
+                );
                 let peer = ([127, 0, 0, 1], 1).into();
-                let told = Input::Told { peer, asked_at: self.now, nonce: 9, message: Box::new(message) };
+                let told =
+                    Input::PeerMessage { peer, requested_at: self.now, nonce: 9, message: Box::new(message) };
                 self.boxed.push(told);
             }
-            Happens::Counted(fronts) => self.boxed.push(Input::Counted { fronts }),
+            Happens::Counted(fronts) => self.boxed.push(Input::FleetSize { fronts }),
         }
     }
 
@@ -209,7 +224,7 @@
 
     fn asks(&mut self, sid: u32, paid: bool, patience: Option<u64>, underway: bool) {
         let arrival = self.arrival(sid, paid, patience, underway);
-        self.waiting.insert(self.next, (arrival.sid.clone(), self.now + arrival.patience));
+        self.waiting.insert(self.next, (arrival.sid.clone(), self.now + arrival.max_wait));
         self.boxed.push(Input::Arrived(arrival));
     }
 
--- a/crates/session/tests/meets/mod.rs
+++ b/crates/session/tests/meets/mod.rs
@@ -89,20 +89,20 @@
                     let attempt = Attempt { server: s.server, went: true, end: None, plays: false };
                     assert!(self.attempts.insert(s.attempt, attempt).is_none(), "{}", self.case);
                 }
-                Command::Recall { attempt, why } => words.extend(self.recalled(attempt, why)),
-                Command::Answer { answer, .. } => self.answers.push((self.now, answer.word().into())),
+                Command::Cancel { attempt, reason: why } => words.extend(self.recalled(attempt, why)),
+                Command::Answer { answer, .. } => self.answers.push((self.now, answer.token().into())),
                 Command::Release { server, .. } => self.released.push(server),
-                Command::Over { .. } => self.over += 1,
-                Command::Keep(_) | Command::Rung { .. } | Command::Merged { .. } => {}
+                Command::SessionEnded { .. } => self.over += 1,
+                Command::Persist(_) | Command::RungChanged { .. } | Command::KnowledgeMerged { .. } => {}
             }
         }
         words
     }
 
-    fn recalled(&mut self, attempt: AttemptId, why: RecallWhy) -> Option<In> {
+    fn recalled(&mut self, attempt: AttemptId, why: CancelReason) -> Option<In> {
         let a = self.attempts.get_mut(&attempt).unwrap();
         // One that has ended by another word gets none; one that went out is not called back by a drain.
-        if a.plays || a.end.is_some() || (a.went && why == RecallWhy::Drained) {
+        if a.plays || a.end.is_some() || (a.went && why == CancelReason::Drained) {
             return None;
         }
         let end = if a.went { AttemptEnd::Unanswered } else { AttemptEnd::NeverSent };
@@ -124,7 +124,7 @@
             Unsent => AttemptEnd::NotConnected,
             HangUp => {
                 self.left = true;
-                return Input::HungUp { viewer: ViewerId(1), sid: "s".into() };
+                return Input::Disconnected { viewer: ViewerId(1), sid: "s".into() };
             }
             Drain | Gone | Replaced | Unlisted => {
                 self.stopped.push(at);
@@ -153,7 +153,7 @@
     pub fn ends(&mut self, mut words: Vec<In>) {
         for _ in 0..200 {
             if words.is_empty() {
-                match self.core.next_due() {
+                match self.core.next_deadline() {
                     Some(due) if due < DAY + ms(10_000) => self.now = self.now.max(due),
                     _ => return,
                 }
@@ -176,7 +176,7 @@
         released.sort();
         assert_eq!(released, owed, "{case}: releases");
         let plays = attempts.values().filter(|a| a.plays).count();
-        assert_eq!((self.core.held(), self.over), (0, plays), "{case}: held for nobody");
+        assert_eq!((self.core.session_count(), self.over), (0, plays), "{case}: held for nobody");
     }
 }
 
--- a/crates/session/tests/platform.rs
+++ b/crates/session/tests/platform.rs
@@ -9,7 +9,7 @@
 /// A core that keeps nothing but its sessions, as on a platform.
 fn plain() -> TestCore {
     let s = settings(SETTINGS);
-    let terms = Terms { idle: None, memory: None, ..Terms::from(&*s) };
+    let terms = CoreConfig { idle_timeout: None, persistence: None, ..CoreConfig::from(&*s) };
     Core::new(Brain::new(s.decisions(), 7), terms, 1)
 }
 
@@ -20,12 +20,12 @@
 }
 
 fn over(sid: &str) -> Input<u32, &'static str> {
-    Input::Over { sid: sid.into(), why: OverWhy::Ended, load: Load::default() }
+    Input::SessionEnded { sid: sid.into(), reason: EndReason::Ended, load: Load::default() }
 }
 
-fn ends(commands: &[Command<u32, &'static str>]) -> Vec<(Sid, u64, OverWhy)> {
+fn ends(commands: &[Command<u32, &'static str>]) -> Vec<(SessionId, u64, EndReason)> {
     let end = |c: &Command<u32, &'static str>| match c {
-        Command::Over { sid, server, why } => Some((sid.clone(), *server, *why)),
+        Command::SessionEnded { sid, server, reason: why } => Some((sid.clone(), *server, *why)),
         _ => None,
     };
     commands.iter().filter_map(end).collect()
@@ -39,13 +39,13 @@
         core.step(DAY + ms(10), [handed_over("s", 1), handed_over("s", 2)]).is_empty(),
         "no answer is owed"
     );
-    assert_eq!(core.held(), 1, "twice is harmless");
-    core.step(DAY + ms(20), [Input::Note { sid: "s".into(), note: Note::Rung(0) }]);
+    assert_eq!(core.session_count(), 1, "twice is harmless");
+    core.step(DAY + ms(20), [Input::SessionReport { sid: "s".into(), report: Note::Rung(0) }]);
     let out = core.step(DAY + ms(30), [over("s")]);
-    assert_eq!(ends(&out), [("s".into(), 1, OverWhy::Ended)]);
-    assert_eq!(core.held(), 0);
+    assert_eq!(ends(&out), [("s".into(), 1, EndReason::Ended)]);
+    assert_eq!(core.session_count(), 0);
     assert!(core.step(DAY + ms(40), [handed_over("t", 9)]).is_empty());
-    assert_eq!(core.held(), 0, "at a server that is not listed there is none");
+    assert_eq!(core.session_count(), 0, "at a server that is not listed there is none");
 }
 
 #[test]
@@ -53,13 +53,13 @@
     let mut core = plain();
     let told = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let tap = told.clone();
-    core.set_tap(Box::new(move |_, events, _| {
+    core.set_step_observer(Box::new(move |_, events, _| {
         let notes = events.iter().filter(|e| matches!(e, cloverhollow::Event::Note(..)));
         tap.lock().unwrap().extend(notes.map(|n| format!("{n:?}")));
     }));
     core.step(DAY, [serving(1)]);
     let out = core.step(DAY + ms(10), [call(1, "s", "clip")]);
-    let note = |note| Input::Note { sid: "s".into(), note };
+    let note = |note| Input::SessionReport { sid: "s".into(), report: note };
     core.step(DAY + ms(20), [note(Note::Link(0.5))]);
     core.step(DAY + ms(30), [playing(sent(&out).attempt)]);
     core.step(DAY + ms(40), [note(Note::Share(0.5)), note(Note::Rack(1.5))]);
@@ -76,7 +76,7 @@
     let out = core.step(DAY + ms(30), [playing(sent(&out).attempt)]);
     assert_eq!(words(&out), ["1 stream body"]);
     core.step(DAY + ms(40), [list(ListMode::Patch, vec![server(2, WireState::Serving)])]);
-    assert_eq!(ends(&core.step(DAY + ms(50), [over("s")])), [("s".into(), 1, OverWhy::Ended)]);
+    assert_eq!(ends(&core.step(DAY + ms(50), [over("s")])), [("s".into(), 1, EndReason::Ended)]);
 }
 
 /// A long day: each server has an id of its own, and so has each session.
@@ -91,8 +91,8 @@
         core.step(now + ms(20), [playing(sent(&out).attempt)]);
         core.step(now + ms(30), [over(&format!("s{n}"))]);
     }
-    let kept = core.kept();
-    assert!(kept.servers <= 5 && kept.gauges <= 5 && kept.sessions == 0, "{kept:?}");
+    let kept = core.retained_counts();
+    assert!(kept.servers <= 5 && kept.report_throttles <= 5 && kept.sessions == 0, "{kept:?}");
     assert!(kept.timers <= 20, "{kept:?}");
 }
 
@@ -101,7 +101,7 @@
     let mut core = plain();
     core.step(DAY, [serving(2)]);
     let out = core.step(DAY + ms(10), [call(1, "s", "paid")]);
-    assert!(sent(&out).deed.is_none());
+    assert!(sent(&out).log_record.is_none());
     let out = core.step(DAY + ms(20), [ended(sent(&out).attempt, AttemptEnd::Reset)]);
     assert_eq!(
         (kept(&out), words(&out).last().map(String::as_str)),
@@ -116,7 +116,7 @@
         let mut core = plain();
         let entry = ServerEntry { started_ms_ago: ago, ..server(1, WireState::Serving) };
         let out = core.step(DAY, [list(ListMode::Whole, vec![entry]), call(1, "s", "clip")]);
-        sent(&out).until
+        sent(&out).send_deadline
     };
     assert_eq!(until(None), DAY + ms(1_000));
     assert_eq!(until(Some(20_000)), DAY + ms(1_000), "it is warm by now");
