--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,18 +1,20 @@
-//! HTTP/1.1 over tokio, for fronts, stand-ins and tools alike.
+//! HTTP/1.1 over Tokio: client and server connections, server-sent events, and the process clock.
 //!
-//! The bytes are [`cloverhollow_http`]'s; here they are put on sockets by `tokio_util`'s `Framed`. Nothing
-//! here retries or decides. Every future is cancel-safe in one way: dropping it drops the connection.
+//! [`cloverhollow_http`] parses and encodes the bytes; this crate moves them over sockets with `tokio_util`'s
+//! `Framed`. Nothing is retried here. A connection whose future was dropped half-way must not be used again.
 
 mod client;
 mod clock;
 mod codec;
 mod events;
-mod gate;
+mod send_decision;
 mod serve;
 
 pub use client::{connect, ClientConn};
-pub use clock::{boottime, unix_ms, Clock};
-pub use codec::{ClientSide, ServerSide, WireError};
-pub use events::{EventLines, MOST_EVENT_LINE};
-pub use gate::Gate;
-pub use serve::{answer, linger, linger_for, read_body, wait_closed, ServerConn};
+pub use clock::{time_since_boot, unix_ms, Clock};
+pub use codec::{ClientCodec, ServerCodec, WireError};
+pub use events::{EventStreamDecoder, MAX_EVENT_LINE_BYTES};
+pub use send_decision::SendDecision;
+pub use serve::{
+    lingering_close, lingering_close_within, read_body, wait_closed, write_response, ServerConn,
+};
--- a/crates/node/src/channel.rs
+++ b/crates/node/src/channel.rs
@@ -3,9 +3,9 @@
 use crate::mail::Mail;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
-use cloverhollow_net::{connect, EventLines, WireError};
+use cloverhollow_net::{connect, EventStreamDecoder, WireError};
 use cloverhollow_platform::backoff::Backoff;
-use cloverhollow_platform::channel::{ChannelError, Directory};
+use cloverhollow_platform::channel::{ChannelError, ServerDirectory};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -64,11 +64,11 @@
         let now = *from.borrow();
         tracing::info!(channel = %begun.address, cursor = now.cursor, error = %broken, "command channel broke");
         let moved = now.address != begun.address;
-        let wait = backoff.wait(at.elapsed(), moved || now.cursor > begun.cursor);
+        let wait = backoff.next_delay(at.elapsed(), moved || now.cursor > begun.cursor);
         // Another address is asked soon, however long the wait at this one has become.
         let asked = now.address;
         if timeout(wait, changed(&mut from, |f| f.address != asked)).await.is_ok() {
-            tokio::time::sleep(backoff.wait(at.elapsed(), true)).await;
+            tokio::time::sleep(backoff.next_delay(at.elapsed(), true)).await;
         }
     }
 }
@@ -89,18 +89,18 @@
     head.headers.push("host", from.address.to_string());
     head.headers.push("accept", "text/event-stream");
     head.headers.push("last-event-id", from.cursor.to_string());
-    conn.send(head, Bytes::new()).await?;
-    let head = timeout(BEGIN, conn.head()).await.map_err(|_| Broken::Silent)??;
+    conn.send_request(head, Bytes::new()).await?;
+    let head = timeout(BEGIN, conn.read_head()).await.map_err(|_| Broken::Silent)??;
     if head.status != 200 {
         return Err(Broken::Status(head.status));
     }
     // A part of an event that a break leaves behind goes with the stream.
-    let mut lines = EventLines::new(MOST_EVENT);
+    let mut lines = EventStreamDecoder::new(MOST_EVENT);
     loop {
-        let data = timeout(SILENT, conn.data()).await.map_err(|_| Broken::Silent)??;
+        let data = timeout(SILENT, conn.read_body_chunk()).await.map_err(|_| Broken::Silent)??;
         let Some(data) = data else { return Ok(()) };
         for event in lines.push(&data).map_err(Broken::Lines)? {
-            if mail.send(Mail::Told(stream, Directory::read(&event)?)).await.is_err() {
+            if mail.send(Mail::Told(stream, ServerDirectory::parse_update(&event)?)).await.is_err() {
                 return Ok(());
             }
         }
