--- a/crates/node/src/desk/tests.rs
+++ b/crates/node/src/desk/tests.rs
@@ -146,7 +146,11 @@
     );
     let _open = open.leave();
     rig.until(|mail| matches!(mail, Mail::Unsent(..))).await;
-    assert_eq!((rig.desk.standing.pending_setups(), rig.desk.core.session_count()), (0, 0), "nobody waits for it");
+    assert_eq!(
+        (rig.desk.standing.pending_setups(), rig.desk.core.session_count()),
+        (0, 0),
+        "nobody waits for it"
+    );
     for server in &rig.servers {
         // The connection that was made stays; a second one was not begun.
         let second = async {
--- a/crates/node/src/desk/viewers.rs
+++ b/crates/node/src/desk/viewers.rs
@@ -153,7 +153,9 @@
             Ok(ViewerRequest::Teardown { sid, cseq }) => {
                 self.write(conn, viewer::ok_response(&cseq, Some(&sid)));
                 match self.standing.teardown(&sid) {
-                    TeardownOutcome::PendingSetup(viewer) => self.inputs.push(Input::Disconnected { viewer, sid }),
+                    TeardownOutcome::PendingSetup(viewer) => {
+                        self.inputs.push(Input::Disconnected { viewer, sid })
+                    }
                     TeardownOutcome::Established => {
                         self.inputs.push(over(sid, EndReason::Quit, Load::default()))
                     }
