--- a/crates/node/src/desk/viewers.rs
+++ b/crates/node/src/desk/viewers.rs
@@ -83,7 +83,7 @@
     }
 
     /// Who waits for that set-up, for its gate.
-    pub(super) fn waits(&self, sid: &Sid) -> Option<Waits> {
+    pub(super) fn waits(&self, sid: &SessionId) -> Option<Waits> {
         let hold = self.conns.get(&self.standing.connection_of_pending_setup(sid)?)?;
         Some(Waits { viewer: hold.viewer.clone(), sid: sid.clone() })
     }
@@ -98,7 +98,7 @@
 
     /// Looks whether the viewer of a set-up has closed its connection unheard of, its close hidden behind what was not
     /// read yet.
-    pub(super) fn look_for(&mut self, sid: &Sid) {
+    pub(super) fn look_for(&mut self, sid: &SessionId) {
         let Some(conn) = self.standing.connection_of_pending_setup(sid) else { return };
         if self.conns.get(&conn).is_some_and(|hold| hold.viewer.has_closed()) {
             self.close_now(conn, ViewerEnd::Closed);
@@ -111,7 +111,7 @@
             tracing::info!(conn = conn.0, ?end, "a viewer's connection ended");
         }
         for (viewer, sid) in self.standing.connection_closed(conn) {
-            self.inputs.push(Input::HungUp { viewer, sid });
+            self.inputs.push(Input::Disconnected { viewer, sid });
         }
         self.tell_again(conn, end);
     }
@@ -131,7 +131,7 @@
     pub(super) fn close_conn(&mut self, conn: ConnId) {
         for (viewer, sid) in self.standing.begin_close(conn) {
             self.write(conn, viewer::failure_response(&sid));
-            self.inputs.push(Input::HungUp { viewer, sid });
+            self.inputs.push(Input::Disconnected { viewer, sid });
         }
         if self.conns.get(&conn).is_some_and(|hold| !hold.close()) {
             self.close_now(conn, ViewerEnd::Unusable);
@@ -153,9 +153,11 @@
             Ok(ViewerRequest::Teardown { sid, cseq }) => {
                 self.write(conn, viewer::ok_response(&cseq, Some(&sid)));
                 match self.standing.teardown(&sid) {
-                    TeardownOutcome::PendingSetup(viewer) => self.inputs.push(Input::HungUp { viewer, sid }),
+                    TeardownOutcome::PendingSetup(viewer) => {
+                        self.inputs.push(Input::Disconnected { viewer, sid })
+                    }
                     TeardownOutcome::Established => {
-                        self.inputs.push(over(sid, OverWhy::Quit, Load::default()))
+                        self.inputs.push(over(sid, EndReason::Quit, Load::default()))
                     }
                     TeardownOutcome::Unknown => {}
                 }
@@ -211,7 +213,7 @@
     pub(super) fn adopt(
         &mut self,
         conn: ConnId,
-        sid: &Sid,
+        sid: &SessionId,
         name: &str,
         arrival: cloverhollow_session::Arrival<SetupRequest>,
     ) {
@@ -227,7 +229,7 @@
         self.standing.adopt(sid, conn, server, now);
         self.links.stands(server);
         self.inputs.push(Input::Adopted { arrival, server });
-        if let Some(address) = self.core.list().address(server) {
+        if let Some(address) = self.core.server_list().address(server) {
             self.ended_early(sid, server, address);
         }
     }
--- a/crates/platform/src/channel.rs
+++ b/crates/platform/src/channel.rs
@@ -2,7 +2,7 @@
 
 mod directory;
 
-use cloverhollow_session::MOST_SERVERS;
+use cloverhollow_session::MAX_SERVERS;
 pub use directory::ServerDirectory;
 use serde::Deserialize;
 use serde_json::Value;
@@ -67,7 +67,7 @@
     InvalidUpdate { cursor: u64, problem: String },
     #[error("event {cursor} after {last_cursor}")]
     Gap { cursor: u64, last_cursor: u64 },
-    #[error("event {cursor}: more than {MOST_SERVERS} servers")]
+    #[error("event {cursor}: more than {MAX_SERVERS} servers")]
     TooManyServers { cursor: u64 },
     #[error("event {cursor}: the weight of server `{name}` is not over 0 and up to {MOST_WEIGHT}")]
     Weight { cursor: u64, name: String },
--- a/crates/platform/src/session_registry/connections.rs
+++ b/crates/platform/src/session_registry/connections.rs
@@ -12,7 +12,7 @@
     }
 
     /// A connection is gone: the set-ups open on it are given up.
-    pub fn connection_closed(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+    pub fn connection_closed(&mut self, conn: ConnId) -> Vec<(ViewerId, SessionId)> {
         let given_up = self.begin_close(conn);
         self.conns.remove(&conn);
         given_up
@@ -43,7 +43,7 @@
     }
 
     /// It is being closed: the set-ups open on it are given up.
-    pub fn begin_close(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+    pub fn begin_close(&mut self, conn: ConnId) -> Vec<(ViewerId, SessionId)> {
         let Some(c) = self.conns.get_mut(&conn) else { return Vec::new() };
         c.closing = true;
         let open = std::mem::take(&mut c.open);
