--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use cloverhollow::{ListMode, ServerId};
-use cloverhollow_session::{title_id, ListNews, ServerEntry, WireState};
+use cloverhollow_session::{title_id, ListUpdate, ServerEntry, WireState};
 use std::collections::{BTreeSet, HashMap};
 
 /// Identity of a server process: its listening address and its start time as listed.
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// There is a gap before the event, or the event is invalid. The directory is unchanged then.
-    pub fn apply(&mut self, update: ChannelUpdate, unix_ms: u64) -> Result<Option<ListNews>, ChannelError> {
+    pub fn apply(&mut self, update: ChannelUpdate, unix_ms: u64) -> Result<Option<ListUpdate>, ChannelError> {
         if self.initialized && update.cursor <= self.cursor {
             return Ok(None);
         }
@@ -92,7 +92,7 @@
             self.departed.extend(missing.map(|(name, listing)| ((name, listing.process), listing.id)));
         }
         let mode = if snapshot { ListMode::Whole } else { ListMode::Patch };
-        Ok(Some(ListNews { mode, version: self.cursor, entries }))
+        Ok(Some(ListUpdate { mode, version: self.cursor, entries }))
     }
 
     /// Validates an event without changing anything.
@@ -111,7 +111,7 @@
                 Status::InService | Status::Terminating => _ = listed.insert(&endpoint.name),
             }
         }
-        if nodes.endpoints.len() > MOST_SERVERS || listed.len() > MOST_SERVERS {
+        if nodes.endpoints.len() > MAX_SERVERS || listed.len() > MAX_SERVERS {
             return Err(ChannelError::TooManyServers { cursor });
         }
         Ok(())
@@ -172,7 +172,7 @@
             id,
             key: Some(title_id(&endpoint.name)),
             address: endpoint.address,
-            hall: endpoint.zone,
+            zone: endpoint.zone,
             kind: endpoint.kind,
             cell: endpoint.group,
             weight: endpoint.weight,
--- a/crates/platform/src/early_releases.rs
+++ b/crates/platform/src/early_releases.rs
@@ -4,7 +4,7 @@
 //! which arrives on a connection of its own, and after a restart of the session manager it can arrive before the session
 //! is handed over.
 
-use cloverhollow_session::{AttemptId, Sid};
+use cloverhollow_session::{AttemptId, SessionId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 /// Stored early releases, at most one for each session.
 #[derive(Debug, Default)]
 pub struct EarlyReleases {
-    by_session: HashMap<Sid, EarlyRelease>,
+    by_session: HashMap<SessionId, EarlyRelease>,
 }
 
 impl EarlyReleases {
@@ -36,7 +36,7 @@
     pub fn insert(
         &mut self,
         now: Duration,
-        sid: Sid,
+        sid: SessionId,
         process: SocketAddr,
         attempt: Option<AttemptId>,
         cause: i64,
--- a/crates/platform/src/session_registry/connections.rs
+++ b/crates/platform/src/session_registry/connections.rs
@@ -12,7 +12,7 @@
     }
 
     /// Removes a connection. Its pending set-ups are abandoned and returned.
-    pub fn connection_closed(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+    pub fn connection_closed(&mut self, conn: ConnId) -> Vec<(ViewerId, SessionId)> {
         let abandoned = self.begin_close(conn);
         self.conns.remove(&conn);
         abandoned
@@ -43,7 +43,7 @@
     }
 
     /// Marks a connection as being closed. Its pending set-ups are abandoned and returned.
-    pub fn begin_close(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+    pub fn begin_close(&mut self, conn: ConnId) -> Vec<(ViewerId, SessionId)> {
         let Some(c) = self.conns.get_mut(&conn) else { return Vec::new() };
         c.closing = true;
         let pending = std::mem::take(&mut c.pending);
--- a/crates/platform/src/session_registry/mod.rs
+++ b/crates/platform/src/session_registry/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::lines::cause;
 use cloverhollow::ServerId;
-use cloverhollow_session::{Sid, ViewerId};
+use cloverhollow_session::{SessionId, ViewerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 struct Conn {
     /// Sessions whose set-up has not been answered.
-    pending: BTreeSet<Sid>,
+    pending: BTreeSet<SessionId>,
     /// True once a session has been established on the connection.
     carried_session: bool,
     /// Number of established sessions that were set up on the connection.
@@ -63,7 +63,7 @@
     /// Connection to write it on.
     pub conn: ConnId,
     /// Session that is released.
-    pub sid: Sid,
+    pub sid: SessionId,
     /// Numeric cause on the wire, one of [`crate::lines::cause`].
     pub cause: i64,
 }
@@ -82,11 +82,11 @@
 /// All pending set-ups, established sessions, viewer connections and releases that wait for a connection.
 #[derive(Debug, Default)]
 pub struct SessionRegistry {
-    sessions: HashMap<Sid, Session>,
-    pending: HashMap<ViewerId, Sid>,
+    sessions: HashMap<SessionId, Session>,
+    pending: HashMap<ViewerId, SessionId>,
     conns: BTreeMap<ConnId, Conn>,
-    by_server: HashMap<ServerId, BTreeSet<Sid>>,
-    pending_releases: VecDeque<(Sid, i64)>,
+    by_server: HashMap<ServerId, BTreeSet<SessionId>>,
+    pending_releases: VecDeque<(SessionId, i64)>,
 }
 
 impl SessionRegistry {
@@ -106,7 +106,7 @@
     }
 
     /// Adds a set-up that has been accepted for processing.
-    pub fn insert_setup(&mut self, sid: &Sid, conn: ConnId, viewer: ViewerId) {
+    pub fn insert_setup(&mut self, sid: &SessionId, conn: ConnId, viewer: ViewerId) {
         let session = Session {
             conn,
             state: State::Pending(viewer),
@@ -127,7 +127,7 @@
         &mut self,
         viewer: ViewerId,
         established: Option<(ServerId, Duration)>,
-    ) -> Option<(ConnId, Sid)> {
+    ) -> Option<(ConnId, SessionId)> {
         let sid = self.pending.remove(&viewer)?;
         let session = self.sessions.get_mut(&sid)?;
         let conn = session.conn;
@@ -149,20 +149,20 @@
     }
 
     /// Adds a session that an earlier incarnation set up and that is handed over after a start.
-    pub fn adopt(&mut self, sid: &Sid, conn: ConnId, server: ServerId, since: Duration) {
+    pub fn adopt(&mut self, sid: &SessionId, conn: ConnId, server: ServerId, since: Duration) {
         let (state, cause) = (State::Established(server), Some(cause::RESET));
         self.sessions.insert(sid.clone(), Session { conn, state, cause, held: true, established: since });
         self.index_established(conn, server, sid);
     }
 
-    fn index_established(&mut self, conn: ConnId, server: ServerId, sid: &Sid) {
+    fn index_established(&mut self, conn: ConnId, server: ServerId, sid: &SessionId) {
         self.by_server.entry(server).or_default().insert(sid.clone());
         if let Some(c) = self.conns.get_mut(&conn) {
             c.established += 1;
         }
     }
 
-    fn abandon_setup(&mut self, sid: &Sid) -> Option<ViewerId> {
+    fn abandon_setup(&mut self, sid: &SessionId) -> Option<ViewerId> {
         let State::Pending(viewer) = self.sessions.get(sid)?.state else { return None };
         self.sessions.remove(sid);
         self.pending.remove(&viewer);
@@ -170,7 +170,7 @@
     }
 
     /// Handles a viewer's TEARDOWN. Afterwards the viewer gets neither a response to the set-up nor a release.
-    pub fn teardown(&mut self, sid: &Sid) -> TeardownOutcome {
+    pub fn teardown(&mut self, sid: &SessionId) -> TeardownOutcome {
         let conn = self.sessions.get(sid).map(|s| s.conn);
         if let Some(viewer) = self.abandon_setup(sid) {
             if let Some(c) = conn.and_then(|conn| self.conns.get_mut(&conn)) {
@@ -200,8 +200,8 @@
     }
 
     /// Sessions at a server that were established before that time.
-    pub fn established_before(&self, server: ServerId, time: Duration) -> Vec<Sid> {
-        let older = |sid: &&Sid| self.sessions.get(*sid).is_some_and(|s| s.established < time);
+    pub fn established_before(&self, server: ServerId, time: Duration) -> Vec<SessionId> {
+        let older = |sid: &&SessionId| self.sessions.get(*sid).is_some_and(|s| s.established < time);
         self.by_server.get(&server).into_iter().flatten().filter(older).cloned().collect()
     }
 
--- a/crates/platform/src/session_registry/releases.rs
+++ b/crates/platform/src/session_registry/releases.rs
@@ -5,7 +5,7 @@
 impl SessionRegistry {
     /// Removes an established session that has ended. Returns the release to write now, if its viewer is to get one and
     /// a connection is available.
-    pub fn end_session(&mut self, sid: &Sid) -> Option<Release> {
+    pub fn end_session(&mut self, sid: &SessionId) -> Option<Release> {
         let State::Established(server) = self.sessions.get(sid)?.state else { return None };
         let session = self.sessions.remove(sid)?;
         if let Some(sids) = self.by_server.get_mut(&server) {
@@ -27,7 +27,7 @@
 
     /// Assigns a release to a connection other than its own. Without a suitable one the release waits, and `None` is
     /// returned.
-    pub fn route_release(&mut self, sid: &Sid, cause: i64) -> Option<Release> {
+    pub fn route_release(&mut self, sid: &SessionId, cause: i64) -> Option<Release> {
         let carriers = || self.conns.iter().rev().filter(|(_, c)| c.carried_session && !c.closing);
         // Prefer one with a session: the viewer may close a connection without one at any moment.
         let best =
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -5,7 +5,7 @@
 mod wire;
 
 use cloverhollow::{Class, Limits, Ration, Rules, Rung, Settings, Tenant};
-use cloverhollow_session::{ClassTerms, Terms};
+use cloverhollow_session::{ClassConfig, CoreConfig};
 use figures::Whole;
 use std::sync::Arc;
 use std::time::Duration;
@@ -170,21 +170,21 @@
 
 impl SiteSettings {
     /// Configuration of the session core for these settings.
-    pub fn core_config(&self) -> Terms {
+    pub fn core_config(&self) -> CoreConfig {
         let s = &self.settings;
         let classes = s.classes.iter().zip(&self.deadlines);
-        Terms {
-            classes: classes.map(|(c, &deadline)| ClassTerms { paid: c.at_most_once, deadline }).collect(),
+        CoreConfig {
+            classes: classes.map(|(c, &deadline)| ClassConfig { paid: c.at_most_once, deadline }).collect(),
             // Rates in kbps serve the hints of players; the platform has no such hints.
-            rates: s.classes.iter().map(|_| Arc::from([])).collect(),
-            kinds: self.names.kinds.clone(),
-            hall: self.names.zone.clone(),
-            hold_off: s.limits.hold_off,
-            margin: RESPONSE_MARGIN,
-            most: MAX_SESSIONS,
-            waiting: 1,
-            idle: None,
-            memory: None,
+            rates_kbps: s.classes.iter().map(|_| Arc::from([])).collect(),
+            server_kinds: self.names.kinds.clone(),
+            zone: self.names.zone.clone(),
+            retry_after: s.limits.hold_off,
+            answer_margin: RESPONSE_MARGIN,
+            max_sessions: MAX_SESSIONS,
+            max_waiting: 1,
+            idle_timeout: None,
+            persistence: None,
         }
     }
 }
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -4,7 +4,7 @@
 use crate::settings::{index_of, SiteSettings};
 use bytes::Bytes;
 use cloverhollow_hints::{Contradictions, Faults};
-use cloverhollow_session::{Answer, Arrival, Sid, ViewerId};
+use cloverhollow_session::{Answer, Arrival, SessionId, ViewerId};
 use std::time::Duration;
 
 /// Upper bound of the waiting time that a request may state, in milliseconds; the deadline of its class applies in
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Setup {
     /// Session id.
-    pub sid: Sid,
+    pub sid: SessionId,
     /// Name of the server at which the session plays already. Set for a hand-over, which gets no response.
     pub playing_at: Option<String>,
     /// The request for the session core. The caller sets `viewer`.
@@ -43,7 +43,7 @@
     /// Abandons a set-up or releases a session.
     Teardown {
         /// Session id.
-        sid: Sid,
+        sid: SessionId,
         /// `CSeq` of the request.
         cseq: String,
     },
@@ -68,7 +68,7 @@
     pub reply_to: rtsp::ReplyTarget,
 }
 
-fn session_id(message: &Message) -> Option<Sid> {
+fn session_id(message: &Message) -> Option<SessionId> {
     let id = message.header("Session")?;
     (id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit())).then(|| id.into())
 }
@@ -117,7 +117,7 @@
 fn parse_setup(
     message: &Message,
     uri: &str,
-    sid: Option<Sid>,
+    sid: Option<SessionId>,
     site: &SiteSettings,
 ) -> Result<Setup, &'static str> {
     let sid = sid.ok_or("session id is not 16 hex digits")?;
@@ -144,15 +144,19 @@
         title,
         class,
         tenant,
-        top: route.top.map_or(usize::MAX, |t| t as usize),
+        max_rung: route.top.map_or(usize::MAX, |t| t as usize),
         first_cell: route.home,
-        cells: route.copies,
-        again: route.again,
-        patience: deadline.map_or(wait, |d| wait.min(d)),
-        underway: false,
-        faults: Faults::default(),
-        contradictions: Contradictions::default(),
-        ask: SetupRequest { class: site.names.classes[class].clone(), title: key.to_owned(), description },
+        cell_count: route.copies,
+        repeated: route.again,
+        max_wait: deadline.map_or(wait, |d| wait.min(d)),
+        already_playing: false,
+        hint_faults: Faults::default(),
+        hint_contradictions: Contradictions::default(),
+        payload: SetupRequest {
+            class: site.names.classes[class].clone(),
+            title: key.to_owned(),
+            description,
+        },
     };
     Ok(Setup { sid, playing_at: route.at, arrival })
 }
@@ -191,13 +195,13 @@
 /// has been established.
 pub fn setup_response<B>(sid: &str, answer: &Answer<B>, description: impl FnOnce(&B) -> Bytes) -> Bytes {
     match answer {
-        Answer::Stream { answer, .. } => rtsp::response(200, "1", Some(sid), &[], &description(answer)),
+        Answer::Stream { response, .. } => rtsp::response(200, "1", Some(sid), &[], &description(response)),
         // On the platform no viewer joins the session of another: a session id in use is rejected before it
         // reaches the session core.
         Answer::Follow(_) => rtsp::response(400, "1", Some(sid), &[], b""),
-        Answer::Refused { after, .. } => refusal_response(sid, *after),
-        Answer::Failed { late: true, .. } => rtsp::response(504, "1", Some(sid), &[], b""),
-        Answer::Failed { late: false, .. } => failure_response(sid),
+        Answer::Refused { retry_after, .. } => refusal_response(sid, *retry_after),
+        Answer::Failed { timed_out: true, .. } => rtsp::response(504, "1", Some(sid), &[], b""),
+        Answer::Failed { timed_out: false, .. } => failure_response(sid),
     }
 }
 
--- a/crates/platform/tests/early_releases.rs
+++ b/crates/platform/tests/early_releases.rs
@@ -1,7 +1,7 @@
 //! Releases that arrive before their sessions are established.
 
 use cloverhollow_platform::early_releases::{EarlyReleases, MAX_EARLY_RELEASES, RETENTION};
-use cloverhollow_session::{AttemptId, Sid};
+use cloverhollow_session::{AttemptId, SessionId};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 #[test]
 fn the_oldest_release_is_evicted_at_the_limit() {
     let mut releases = EarlyReleases::default();
-    let sid = |n: usize| Sid::from(format!("{n:016x}"));
+    let sid = |n: usize| SessionId::from(format!("{n:016x}"));
     for n in 0..=MAX_EARLY_RELEASES {
         releases.insert(NOW + Duration::from_micros(n as u64), sid(n), process(1), None, CAUSE);
     }
--- a/crates/platform/tests/random_deployment/checks.rs
+++ b/crates/platform/tests/random_deployment/checks.rs
@@ -33,7 +33,7 @@
                     "attempt at server {}, which is not in service",
                     s.server
                 );
-                let max_rung = class.top.min(session.top).min(settings.ladder.len() - 1);
+                let max_rung = class.top.min(session.max_rung).min(settings.ladder.len() - 1);
                 assert!(
                     (class.floor..=max_rung).contains(&s.rung),
                     "rung {} is outside {}..={max_rung}",
@@ -51,10 +51,10 @@
                 );
                 self.sessions.get_mut(&s.sid).unwrap().attempt = Some((s.attempt, self.rng.bool()));
             }
-            Command::Recall { attempt, why } => {
+            Command::Cancel { attempt, reason } => {
                 let open = self.sessions.values().find_map(|h| h.attempt.filter(|(a, _)| *a == attempt));
-                match (open, why) {
-                    (None, _) | (Some((_, true)), RecallWhy::Drained) => {}
+                match (open, reason) {
+                    (None, _) | (Some((_, true)), CancelReason::Drained) => {}
                     (Some((_, true)), _) => self.ended(attempt, AttemptEnd::Unanswered),
                     (Some((_, false)), _) => self.ended(attempt, AttemptEnd::NeverSent),
                 }
@@ -79,17 +79,17 @@
                     self.sessions.remove(&sid);
                 }
             }
-            Command::Over { sid, .. } => drop(self.sessions.remove(&sid)),
-            Command::Rung { sid, rung, .. } => {
+            Command::SessionEnded { sid, .. } => drop(self.sessions.remove(&sid)),
+            Command::RungChanged { sid, rung, .. } => {
                 let session = &self.sessions[&sid];
                 let class = &settings.classes[session.class];
-                let max_rung = class.top.min(session.top).min(settings.ladder.len() - 1);
+                let max_rung = class.top.min(session.max_rung).min(settings.ladder.len() - 1);
                 assert!(
                     session.adopted || (class.floor..=max_rung).contains(&rung),
                     "rung {rung} is out of range"
                 );
             }
-            Command::Keep(_) | Command::Merged { .. } | Command::Release { .. } => {}
+            Command::Persist(_) | Command::KnowledgeMerged { .. } | Command::Release { .. } => {}
         }
     }
 
--- a/crates/platform/tests/random_deployment/front.rs
+++ b/crates/platform/tests/random_deployment/front.rs
@@ -26,7 +26,7 @@
     now: Duration,
     next: u64,
     cursor: u64,
-    pub(super) sessions: BTreeMap<Sid, SessionState>,
+    pub(super) sessions: BTreeMap<SessionId, SessionState>,
     pub(super) states: BTreeMap<u64, WireState>,
     pub(super) disconnected: BTreeSet<ViewerId>,
     pub(super) inputs: Vec<In>,
@@ -42,7 +42,7 @@
         let mut core = Core::new(Brain::new(site.settings.clone(), seed), site.core_config(), seed);
         let transcript = Arc::new(Mutex::new(Vec::new()));
         let recorder = transcript.clone();
-        core.set_tap(Box::new(move |now, events, actions| {
+        core.set_step_observer(Box::new(move |now, events, actions| {
             recorder.lock().unwrap().push(format!("{now:?} {events:?} {actions:?}"));
         }));
         let (directory, sessions, states, disconnected) = Default::default();
@@ -106,11 +106,11 @@
             self.sessions.values().all(|h| h.waiting.is_none() && h.attempt.is_none()),
             "a viewer or an attempt is left"
         );
-        assert_eq!(self.core.held(), self.sessions.len());
+        assert_eq!(self.core.session_count(), self.sessions.len());
     }
 
     fn settle(&mut self) {
-        while !self.inputs.is_empty() || self.core.next_due().is_some_and(|due| due <= self.now) {
+        while !self.inputs.is_empty() || self.core.next_deadline().is_some_and(|due| due <= self.now) {
             let inputs = std::mem::take(&mut self.inputs);
             let commands = self.core.step(self.now, inputs);
             self.core.check().unwrap_or_else(|violation| panic!("{violation}"));
@@ -141,10 +141,10 @@
             self.states.clear();
         }
         self.states.extend(list.entries.iter().map(|e| (e.id, e.state)));
-        self.inputs.push(Input::List(list));
+        self.inputs.push(Input::ListUpdate(list));
     }
 
-    fn arrival(&mut self, sid: &Sid, patience: Duration) -> Arrival<u32> {
+    fn arrival(&mut self, sid: &SessionId, max_wait: Duration) -> Arrival<u32> {
         self.next += 1;
         Arrival {
             viewer: ViewerId(self.next),
@@ -152,15 +152,15 @@
             title: self.rng.u64(0..5),
             class: self.rng.usize(0..self.site.settings.classes.len()),
             tenant: (!self.site.settings.tenants.is_empty()).then_some(0),
-            top: *self.rng.choice(&[0, 1, 3, usize::MAX]).unwrap(),
+            max_rung: *self.rng.choice(&[0, 1, 3, usize::MAX]).unwrap(),
             first_cell: self.rng.u64(0..50),
-            cells: self.rng.u64(0..50),
-            again: self.rng.bool(),
-            patience,
-            underway: false,
-            faults: Faults::default(),
-            contradictions: Contradictions::default(),
-            ask: 0,
+            cell_count: self.rng.u64(0..50),
+            repeated: self.rng.bool(),
+            max_wait,
+            already_playing: false,
+            hint_faults: Faults::default(),
+            hint_contradictions: Contradictions::default(),
+            payload: 0,
         }
     }
 
@@ -169,7 +169,7 @@
         let session = SessionState {
             title: arrival.title,
             class: arrival.class,
-            top: arrival.top,
+            max_rung: arrival.max_rung,
             waiting,
             attempt: None,
             playing,
@@ -181,23 +181,23 @@
 
     fn viewer_requests(&mut self) {
         for _ in 0..self.rng.usize(1..5) {
-            let sid: Sid = format!("{:016x}", self.next).into();
-            let patience = ms(self.rng.u64(0..4_000));
-            let arrival = self.arrival(&sid, patience);
-            self.insert(&arrival, Some((arrival.viewer, self.now + patience)));
+            let sid: SessionId = format!("{:016x}", self.next).into();
+            let max_wait = ms(self.rng.u64(0..4_000));
+            let arrival = self.arrival(&sid, max_wait);
+            self.insert(&arrival, Some((arrival.viewer, self.now + max_wait)));
             self.inputs.push(Input::Arrived(arrival));
         }
     }
 
     fn hand_over(&mut self) {
         let Some(server) = self.directory.server_id(&format!("s{}", self.rng.u64(0..12))) else { return };
-        let sid: Sid = format!("{:016x}", self.next).into();
+        let sid: SessionId = format!("{:016x}", self.next).into();
         let arrival = self.arrival(&sid, ms(4_000_000));
         self.insert(&arrival, None);
         self.inputs.push(Input::Adopted { arrival, server });
     }
 
-    fn random_session(&mut self, matches: impl Fn(&SessionState) -> bool) -> Option<Sid> {
+    fn random_session(&mut self, matches: impl Fn(&SessionState) -> bool) -> Option<SessionId> {
         let candidates: Vec<_> =
             self.sessions.iter().filter(|(_, h)| matches(h)).map(|(sid, _)| sid.clone()).collect();
         self.rng.choice(candidates)
@@ -208,7 +208,7 @@
         let session = self.sessions.get_mut(&sid).unwrap();
         let (viewer, _) = session.waiting.take().unwrap();
         self.disconnected.insert(viewer);
-        self.inputs.push(Input::HungUp { viewer, sid: sid.clone() });
+        self.inputs.push(Input::Disconnected { viewer, sid: sid.clone() });
         if session.attempt.is_none() {
             self.sessions.remove(&sid);
         }
@@ -226,22 +226,22 @@
             _ => {
                 let session = self.sessions.get_mut(&sid).unwrap();
                 (session.attempt, session.playing, session.possibly_executed) = (None, true, true);
-                self.inputs.push(Input::Playing { attempt, load: Load::default(), answer: () });
+                self.inputs.push(Input::Playing { attempt, load: Load::default(), response: () });
             }
         }
     }
 
     fn session_end(&mut self) {
         if let Some(sid) = self.random_session(|h| h.playing) {
-            self.inputs.push(Input::Over { sid, why: OverWhy::Ended, load: Load::default() });
+            self.inputs.push(Input::SessionEnded { sid, reason: EndReason::Ended, load: Load::default() });
         }
     }
 
     fn session_report(&mut self) {
         let x = self.rng.f64() * 1.4;
-        let note = *self.rng.choice(&[Note::Share(x.min(1.0)), Note::Link(x), Note::Rack(x)]).unwrap();
+        let report = *self.rng.choice(&[Note::Share(x.min(1.0)), Note::Link(x), Note::Rack(x)]).unwrap();
         if let Some(sid) = self.random_session(|h| h.playing) {
-            self.inputs.push(Input::Note { sid, note });
+            self.inputs.push(Input::SessionReport { sid, report });
         }
     }
 }
--- a/crates/platform/tests/random_deployment/session_state.rs
+++ b/crates/platform/tests/random_deployment/session_state.rs
@@ -7,7 +7,7 @@
 pub(super) struct SessionState {
     pub(super) title: u64,
     pub(super) class: usize,
-    pub(super) top: usize,
+    pub(super) max_rung: usize,
     /// The waiting viewer and its deadline.
     pub(super) waiting: Option<(ViewerId, Duration)>,
     /// The open attempt, and whether its first byte has been sent.
--- a/crates/platform/tests/session_registry.rs
+++ b/crates/platform/tests/session_registry.rs
@@ -2,7 +2,7 @@
 
 use cloverhollow_platform::lines::cause;
 use cloverhollow_platform::session_registry::{ConnId, Release, SessionRegistry, TeardownOutcome};
-use cloverhollow_session::{Sid, ViewerId};
+use cloverhollow_session::{SessionId, ViewerId};
 use std::time::Duration;
 
 const SERVER: u64 = 7;
@@ -14,8 +14,8 @@
 }
 
 /// Establishes a session on that connection.
-fn establish(registry: &mut SessionRegistry, sid: &str, conn: u64) -> Sid {
-    let (sid, viewer) = (Sid::from(sid), ViewerId(conn * 100 + sid.len() as u64));
+fn establish(registry: &mut SessionRegistry, sid: &str, conn: u64) -> SessionId {
+    let (sid, viewer) = (SessionId::from(sid), ViewerId(conn * 100 + sid.len() as u64));
     registry.insert_setup(&sid, ConnId(conn), viewer);
     let (on, answered) = registry.complete_setup(viewer, Some((SERVER, Duration::from_secs(5)))).unwrap();
     assert_eq!((on, answered), (ConnId(conn), sid.clone()));
@@ -23,7 +23,7 @@
     sid
 }
 
-fn release_on(conn: u64, sid: &Sid, cause: i64) -> Option<Release> {
+fn release_on(conn: u64, sid: &SessionId, cause: i64) -> Option<Release> {
     Some(Release { conn: ConnId(conn), sid: sid.clone(), cause })
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn a_connection_that_only_carried_a_ping_gets_no_release() {
     let mut registry = with_connections(3);
-    let sid = Sid::from("handed-over");
+    let sid = SessionId::from("handed-over");
     registry.adopt(&sid, ConnId(1), SERVER, Duration::ZERO);
     registry.connection_closed(ConnId(1));
     establish(&mut registry, "b", 2);
@@ -94,7 +94,7 @@
     assert_eq!(registry.teardown(&sid), TeardownOutcome::Established);
     assert!(registry.may_be_held_by_server(&sid), "its server has not been told yet");
     assert_eq!(registry.end_session(&sid), None);
-    let pending = Sid::from("b");
+    let pending = SessionId::from("b");
     registry.insert_setup(&pending, ConnId(1), ViewerId(9));
     assert_eq!((registry.pending_setups(), registry.pending_setups_on(ConnId(1))), (1, 1));
     assert_eq!(registry.teardown(&pending), TeardownOutcome::PendingSetup(ViewerId(9)));
@@ -108,7 +108,7 @@
 #[test]
 fn a_close_abandons_pending_set_ups_and_a_moved_session_gets_no_release() {
     let mut registry = with_connections(2);
-    let (a, b) = (Sid::from("a"), establish(&mut registry, "b", 2));
+    let (a, b) = (SessionId::from("a"), establish(&mut registry, "b", 2));
     registry.insert_setup(&a, ConnId(1), ViewerId(1));
     assert_eq!(registry.connection_closed(ConnId(1)), [(ViewerId(1), a)]);
     assert!(registry.record_release(SERVER, &b, cause::CANCELLED));
@@ -118,7 +118,7 @@
 #[test]
 fn silent_connections_are_evicted_first_and_those_with_pending_set_ups_never() {
     let mut registry = with_connections(4);
-    registry.insert_setup(&Sid::from("a"), ConnId(1), ViewerId(1));
+    registry.insert_setup(&SessionId::from("a"), ConnId(1), ViewerId(1));
     registry.message_received(ConnId(1));
     registry.message_received(ConnId(2));
     let now = Duration::from_secs(1);
@@ -140,7 +140,7 @@
     }
     assert_eq!(registry.eviction_candidate(now), None);
     // A connection with invalid data is closed in spite of its pending set-ups, which are returned at once.
-    assert_eq!(registry.begin_close(ConnId(1)), [(ViewerId(1), Sid::from("a"))]);
+    assert_eq!(registry.begin_close(ConnId(1)), [(ViewerId(1), SessionId::from("a"))]);
     assert_eq!((registry.eviction_candidate(now), registry.pending_setups()), (Some(ConnId(1)), 0));
 }
 
@@ -148,7 +148,7 @@
 fn sessions_established_before_a_time_are_found() {
     let mut registry = with_connections(1);
     let old = establish(&mut registry, "old", 1);
-    let newer = Sid::from("younger");
+    let newer = SessionId::from("younger");
     registry.adopt(&newer, ConnId(1), SERVER, Duration::from_secs(9));
     assert_eq!(registry.established_before(SERVER, Duration::from_secs(8)), [old]);
     assert_eq!(registry.established_before(SERVER, Duration::MAX).len(), 2);
--- a/crates/platform/tests/zero_settings.rs
+++ b/crates/platform/tests/zero_settings.rs
@@ -49,31 +49,31 @@
     let s = &site.settings;
     let deadline = |i: usize| site.deadlines.get(i).copied().unwrap_or_default();
     let class =
-        |(i, c): (usize, &cloverhollow::Class)| ClassTerms { paid: c.at_most_once, deadline: deadline(i) };
-    let terms = Terms {
+        |(i, c): (usize, &cloverhollow::Class)| ClassConfig { paid: c.at_most_once, deadline: deadline(i) };
+    let config = CoreConfig {
         classes: s.classes.iter().enumerate().map(class).collect(),
-        rates: s.classes.iter().map(|_| [].into()).collect(),
-        kinds: site.names.kinds.clone(),
-        hall: site.names.zone.clone(),
-        hold_off: s.limits.hold_off,
-        margin: MARGIN,
-        most: 100,
-        waiting: 1,
-        idle: None,
-        memory: None,
+        rates_kbps: s.classes.iter().map(|_| [].into()).collect(),
+        server_kinds: site.names.kinds.clone(),
+        zone: site.names.zone.clone(),
+        retry_after: s.limits.hold_off,
+        answer_margin: MARGIN,
+        max_sessions: 100,
+        max_waiting: 1,
+        idle_timeout: None,
+        persistence: None,
     };
-    Core::new(Brain::new(s.clone(), 7), terms, 1)
+    Core::new(Brain::new(s.clone(), 7), config, 1)
 }
 
 fn entry(id: u64) -> ServerEntry {
     let address = ([127, 0, 0, 1], 9_000 + id as u16).into();
-    let (hall, kind) = ("east".into(), "std".into());
+    let (zone, kind) = ("east".into(), "std".into());
     let state = WireState::Serving;
     ServerEntry {
         id,
         key: None,
         address,
-        hall,
+        zone,
         kind,
         cell: id,
         weight: 4.0,
@@ -83,22 +83,22 @@
     }
 }
 
-fn arrival(class: usize, viewer: u64, patience: Duration) -> Input<(), ()> {
+fn arrival(class: usize, viewer: u64, max_wait: Duration) -> Input<(), ()> {
     Input::Arrived(Arrival {
         viewer: ViewerId(viewer),
         sid: format!("{viewer:016x}").into(),
         title: viewer,
         class,
         tenant: None,
-        top: 1,
+        max_rung: 1,
         first_cell: 0,
-        cells: 9,
-        again: false,
-        patience,
-        underway: false,
-        faults: Default::default(),
-        contradictions: Default::default(),
-        ask: (),
+        cell_count: 9,
+        repeated: false,
+        max_wait,
+        already_playing: false,
+        hint_faults: Default::default(),
+        hint_contradictions: Default::default(),
+        payload: (),
     })
 }
 
@@ -113,15 +113,17 @@
 }
 
 /// Simulates one request of each class; each must get one response in time.
-fn simulate(case: &str, site: &SiteSettings, servers: Servers, patience: Duration) {
-    let case = format!("{case}, {servers:?}, waiting time {patience:?}");
+fn simulate(case: &str, site: &SiteSettings, servers: Servers, max_wait: Duration) {
+    let case = format!("{case}, {servers:?}, waiting time {max_wait:?}");
     let mut core = core(site);
     let mut now = DAY;
     let listed = if matches!(servers, Servers::None) { 0 } else { 4 };
     let entries = (1..=listed).map(entry).collect();
-    let mut inputs =
-        vec![Input::Clock(DAY), Input::List(ListNews { mode: ListMode::Whole, version: 1, entries })];
-    inputs.extend((0..site.settings.classes.len()).map(|c| arrival(c, c as u64 + 1, patience)));
+    let mut inputs = vec![
+        Input::ClockOffset(DAY),
+        Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version: 1, entries }),
+    ];
+    inputs.extend((0..site.settings.classes.len()).map(|c| arrival(c, c as u64 + 1, max_wait)));
     let (mut answers, mut open, mut steps_at_once) = (BTreeMap::new(), BTreeMap::new(), 0);
     loop {
         let commands = core.step(now, std::mem::take(&mut inputs));
@@ -130,14 +132,16 @@
             let end = |attempt, end| Input::AttemptEnded { attempt, end, load: Load::default() };
             match command {
                 Command::Send(s) => match servers {
-                    Servers::Answer => {
-                        inputs.push(Input::Playing { attempt: s.attempt, load: Load::default(), answer: () })
-                    }
+                    Servers::Answer => inputs.push(Input::Playing {
+                        attempt: s.attempt,
+                        load: Load::default(),
+                        response: (),
+                    }),
                     Servers::Full => inputs.push(end(s.attempt, AttemptEnd::Full)),
                     Servers::Refuse => inputs.push(end(s.attempt, AttemptEnd::NotConnected)),
                     Servers::Silent | Servers::None => _ = open.insert(s.attempt, s.sid),
                 },
-                Command::Recall { attempt, .. } => {
+                Command::Cancel { attempt, .. } => {
                     let recalled = open.remove(&attempt);
                     inputs.extend(recalled.map(|_| end(attempt, AttemptEnd::Unanswered)));
                 }
@@ -148,7 +152,7 @@
             }
         }
         if inputs.is_empty() {
-            match core.next_due() {
+            match core.next_deadline() {
                 Some(due) if due > DAY + Duration::from_secs(5) => break,
                 Some(due) if due > now => (now, steps_at_once) = (due, 0),
                 Some(_) => {}
@@ -160,7 +164,7 @@
     }
     assert_eq!(answers.len(), site.settings.classes.len(), "{case}: responses are missing");
     // The waiting time less the margin; if that is nothing, the response is due at once.
-    let latest = DAY + patience.saturating_sub(MARGIN);
+    let latest = DAY + max_wait.saturating_sub(MARGIN);
     assert!(answers.values().all(|at| *at <= latest), "{case}: {answers:?} after {latest:?}");
     assert!(open.is_empty(), "{case}: attempts that never ended");
 }
