--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,6 +1,6 @@
 //! A front as a process: starts, says where it listens, runs until it is told to stop.
 
-use cloverhollow::Brain;
+use cloverhollow::SessionPolicy;
 use cloverhollow_front::{Front, Leave, StartError};
 use cloverhollow_record::Recorder;
 use cloverhollow_session::{Policy, Tap};
@@ -141,6 +141,6 @@
     /// # Errors
     /// As [`serve`].
     pub async fn with_brain(&self) -> Result<(), ServeError> {
-        serve(self, |settings, seed| Brain::new(settings.decisions(), seed)).await
+        serve(self, |settings, seed| SessionPolicy::new(settings.decisions(), seed)).await
     }
 }
--- a/crates/decisions/src/interface/mod.rs
+++ b/crates/decisions/src/interface/mod.rs
@@ -1,219 +1,220 @@
-//! The vocabulary between a session manager and [`crate::Brain`]: settings, events, actions.
+//! Interface between a session manager and [`crate::SessionPolicy`]: settings, events and actions.
 //!
-//! Data only. Times are [`Duration`]s on the caller's one forward-going clock; rates are kB a second.
+//! Plain data. Times are [`Duration`]s on the caller's monotonic clock; rates are in kB a second.
 
 mod settings;
 
 pub use settings::*;
 use std::time::Duration;
 
-/// A request as the caller names it; never used twice.
+/// Identifier of a request, chosen by the caller and never reused.
 pub type RequestId = u64;
-/// A media server; the same at every front.
+/// Identifier of a media server, the same at every front.
 pub type ServerId = u64;
-/// A title; equal for equal titles.
+/// Identifier of a title, equal for equal titles.
 pub type TitleId = u64;
 
 /// A request for a session.
 #[derive(Clone, Debug, Default)]
-pub struct Call {
-    /// Its id.
-    pub request: RequestId,
-    /// Its title.
+pub struct SessionRequest {
+    /// Identifier of the request.
+    pub id: RequestId,
+    /// Requested title.
     pub title: TitleId,
-    /// Its class, by index.
+    /// Index of the request's class.
     pub class: usize,
-    /// Its tenant, by index.
+    /// Index of the request's tenant.
     pub tenant: Option<usize>,
-    /// The highest rung the viewer can use.
-    pub top: usize,
-    /// Where the title's cells begin.
+    /// Highest rung that the viewer can play.
+    pub max_rung: usize,
+    /// First of the cells that hold the title.
     pub first_cell: u64,
-    /// How many cells hold it.
-    pub cells: u64,
-    /// When the viewer stops waiting.
+    /// Number of consecutive cells that hold the title.
+    pub cell_count: u64,
+    /// Time at which the viewer stops waiting.
     pub deadline: Duration,
-    /// Whether the viewer comes again.
-    pub again: bool,
+    /// True if the viewer repeats an earlier request.
+    pub is_repeat: bool,
 }
 
-/// State of a server in the list.
+/// State of a server in the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
-    /// Takes new work.
+pub enum ServerState {
+    /// Accepts new sessions.
     #[default]
     Serving,
-    /// Finishes what it has.
+    /// Finishes its sessions and accepts no new ones.
     Draining,
-    /// Is gone.
-    Gone,
+    /// No longer listed.
+    Removed,
 }
 
-/// One entry of the list.
+/// One entry of the server list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry {
-    /// Which server.
+pub struct ListEntry {
+    /// Identifier of the server.
     pub server: ServerId,
-    /// What all fronts know it by alike; need not differ from others'.
-    pub key: u64,
-    /// Its cell.
+    /// Key that has the same value at all fronts; several servers may share one.
+    pub shared_key: u64,
+    /// Cell of the server.
     pub cell: u64,
-    /// Its kind, by index.
+    /// Index of the server's kind.
     pub kind: usize,
-    /// Its weight.
+    /// Weight of the server.
     pub weight: f64,
-    /// Its state.
-    pub state: Listed,
-    /// When it last started; zero: long ago.
-    pub started: Duration,
-    /// It stands in another zone than the front: what crosses has its price.
-    pub far: bool,
+    /// State of the server.
+    pub state: ServerState,
+    /// Time of the server's last start; zero if that was long ago.
+    pub started_at: Duration,
+    /// True if the server is in another zone than the front; traffic between zones has a price.
+    pub in_other_zone: bool,
 }
 
-/// How a piece of list news is to be read.
+/// Meaning of an update of the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListMode {
     /// Changed entries only.
     Patch,
-    /// All entries; what is missing is gone.
-    Whole,
-    /// All entries as last known; may be old.
+    /// All entries; a server that is missing has been removed.
+    Full,
+    /// All entries as last known; they may be out of date.
     Stale,
-    /// An ask failed; the list stays as it was.
-    Broken,
+    /// A request for the list failed; the known list stays in force.
+    Failed,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// Served.
+pub enum AttemptOutcome {
+    /// The session was served.
     Ok,
     /// The server replied with an error.
     Error,
-    /// Sent back unseen.
+    /// The server was full and returned the set-up without executing it.
     Full,
-    /// No answer in time.
+    /// The server did not answer in time.
     Timeout,
-    /// No connection; never sent.
+    /// No connection was made; the set-up was not sent.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Called off, or the viewer left.
+    /// The attempt was cancelled, or the viewer left.
     Cancelled,
-    /// Never sent by the caller.
-    Moot,
+    /// The caller did not send the set-up.
+    NotSent,
 }
 
-impl Outcome {
-    /// Whether the outcome proves that the set-up never ran.
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+impl AttemptOutcome {
+    /// Returns true if the outcome proves that the server did not execute the set-up.
+    pub fn never_executed(self) -> bool {
+        matches!(self, AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
-/// A server's load report; absent values were not told.
+/// Load reported by a server; `None` for a value that it did not report.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
-    /// What is asked of its link over what the link gives.
-    pub link: Option<f64>,
-    /// The same for its rack's uplink.
-    pub rack: Option<f64>,
+pub struct LoadReport {
+    /// Demand on the server's link, as a fraction of the link's capacity; may exceed 1.
+    pub link_load: Option<f64>,
+    /// Demand on the uplink of the server's rack, as a fraction of its capacity.
+    pub uplink_load: Option<f64>,
 }
 
-/// What a note on a session says.
+/// Report on a playing session.
 #[derive(Clone, Copy, Debug)]
-pub enum Note {
-    /// The share of their rates that sessions at this server got.
-    Share(f64),
-    /// The rung in force.
+pub enum SessionReport {
+    /// Fraction of their rates that the sessions at this server received.
+    DeliveredShare(f64),
+    /// Rung in force.
     Rung(usize),
-    /// What is asked of the link over what it gives.
-    Link(f64),
-    /// The same for the rack's uplink.
-    Rack(f64),
+    /// Demand on the server's link, as a fraction of the link's capacity.
+    LinkLoad(f64),
+    /// Demand on the uplink of the server's rack, as a fraction of its capacity.
+    UplinkLoad(f64),
 }
 
-/// A peer's word on a server, of which this front knows nothing better itself.
+/// A peer's knowledge of a server, sent when this front has none that is newer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Heard {
-    /// Which server.
+pub struct PeerReport {
+    /// Identifier of the server.
     pub server: ServerId,
-    /// Its state, by a newer list than this front's own.
-    pub state: Listed,
-    /// When it last started; zero: long ago, or not told.
-    pub started: Duration,
-    /// The peer's last attempt there failed...
+    /// State of the server, from a newer list than this front's own.
+    pub state: ServerState,
+    /// Time of the server's last start; zero if that was long ago or is unknown.
+    pub started_at: Duration,
+    /// True if the peer's last attempt at the server failed.
     pub failed: bool,
-    /// ...in a way that may mean a restart.
-    pub lost: bool,
-    /// What it read, so long ago...
-    pub report: Report,
-    /// ...as this.
-    pub age: Duration,
+    /// True if that failure may mean that the server restarted.
+    pub may_have_restarted: bool,
+    /// Load that the peer read.
+    pub load: LoadReport,
+    /// Age of that load.
+    pub load_age: Duration,
 }
 
-/// What a front that comes back can prove of its earlier lives, told before anything else. A front that is
-/// never told this runs for the first time.
+/// Provable history of a front's previous incarnations, passed in before any other event. A front that
+/// does not receive it runs for the first time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Before {
-    /// Ages of the further attempts that they made, as far as they are known, in any order.
-    pub further: Vec<Duration>,
-    /// For so long back those are all; [`Duration::MAX`]: for ever.
-    pub known: Duration,
-    /// How long ago they may last have sent a set-up; `None`: never.
-    pub ran: Option<Duration>,
-    /// For so long the list may not tell yet of servers that started anew between two lives.
-    pub late: Duration,
+pub struct RecoveredHistory {
+    /// Ages of the known retries of previous incarnations, in any order.
+    pub retry_ages: Vec<Duration>,
+    /// Age up to which the list of retries is complete; [`Duration::MAX`] if it is complete.
+    pub complete_for: Duration,
+    /// Age of the last set-up that a previous incarnation may have sent; `None` if it sent none.
+    pub last_setup_age: Option<Duration>,
+    /// Time for which the server list may still lack servers that restarted while this front was down.
+    pub list_delay: Duration,
 }
 
-/// What happens to a front. All events of one instant go into one call, in order of arrival.
+/// Input of a front. All events of one instant belong in one call of `step`, in order of arrival.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the server list.
-    List(ListMode, Vec<Entry>),
-    /// A viewer wants a session.
-    Call(Call),
-    /// A session that plays already when the front starts.
-    Adopted(Call, ServerId),
-    /// An attempt's session plays.
+    /// Update of the server list.
+    ListUpdate(ListMode, Vec<ListEntry>),
+    /// Request of a viewer for a session.
+    Request(SessionRequest),
+    /// Session that was already playing at a server when the front started.
+    Adopted(SessionRequest, ServerId),
+    /// Start of playing: request, index of the attempt, server, and the time that the set-up took.
     Playing(RequestId, u32, ServerId, Duration),
-    /// News on a session.
-    Note(RequestId, ServerId, Note),
-    /// An attempt ended. The flag: the request is over too.
-    Ended(RequestId, u32, ServerId, Outcome, bool, Report),
-    /// The viewer is gone; nothing is owed any more.
-    Gone(RequestId),
-    /// A timer has come due.
+    /// Report on a playing session.
+    SessionReport(RequestId, ServerId, SessionReport),
+    /// End of an attempt: request, index of the attempt, server and outcome. The flag is true if the request
+    /// has ended with it and must not be retried.
+    AttemptEnded(RequestId, u32, ServerId, AttemptOutcome, bool, LoadReport),
+    /// Departure of the viewer; the request needs no answer any more.
+    ViewerLeft(RequestId),
+    /// Expiry of the timer with this token.
     Timer(u64),
-    /// A peer's word on a server.
-    Heard(Heard),
-    /// This front ran before.
-    Before(Before),
-    /// The clock that all fronts share is so far ahead of this front's own. Zero until it first comes.
-    Clock(Duration),
-    /// Fronts that send into the fleet, this one included, at the most; `None`: nobody can say any more, and this
-    /// front has no part of a cold server. Until it first comes, the settings' number holds.
-    Counted {
-        /// See above.
-        fronts: Option<usize>,
+    /// Knowledge of a peer about a server.
+    PeerReport(PeerReport),
+    /// History of previous incarnations of this front.
+    RecoveredHistory(RecoveredHistory),
+    /// Time by which the clock shared by all fronts is ahead of this front's clock; zero until first set.
+    ClockOffset(Duration),
+    /// Upper bound of the fleet's size; the value of [`Settings`] holds until the first such event.
+    FleetSize {
+        /// Highest possible number of fronts that send set-ups, this one included. `None` if the number is
+        /// unknown; this front then has no share of a cold server.
+        max_fronts: Option<usize>,
     },
 }
 
-/// What a front does.
+/// Output of a front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Try to set the session up there, for at most this time.
+    /// Attempt the set-up at this server, for at most this time.
     Send(RequestId, ServerId, Duration),
-    /// Set a session's rung.
-    Rung(RequestId, usize),
-    /// Final answer: not served, a new try does no harm; come back after this.
+    /// Set the rung of a session.
+    SetRung(RequestId, usize),
+    /// Final answer: not served, and safe to repeat after this delay.
     Refuse(RequestId, Duration),
-    /// Final answer: failed, may have run.
+    /// Final answer: failed, and the set-up may have been executed.
     Fail(RequestId),
-    /// Call `Event::Timer` with this token after this time.
-    Timer(Duration, u64),
-    /// Subscribe to the list.
+    /// Raise [`Event::Timer`] with this token after this time.
+    SetTimer(Duration, u64),
+    /// Subscribe to the server list.
     Subscribe,
-    /// One line for whoever is on call.
+    /// Log a line for the operator.
     Log(String),
 }
--- a/crates/decisions/src/interface/settings.rs
+++ b/crates/decisions/src/interface/settings.rs
@@ -1,122 +1,123 @@
-//! What a front is told once, at its start.
+//! Settings of a front, fixed for the life of a [`crate::SessionPolicy`] except for the fleet's size.
 
 use std::time::Duration;
 
-/// What a front is told once, at its start.
+/// Settings of one front.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many fronts send into the fleet, this one included.
-    pub fronts: usize,
-    /// This front's number among them, from 0; `None`: it has none that all agree on.
-    pub number: Option<usize>,
-    /// The classes of sessions, in the order their indices refer to.
+    /// Number of fronts that send set-ups into the fleet, this one included.
+    pub front_count: usize,
+    /// Index of this front, from 0; `None` if the fronts have no indices that all of them agree on.
+    pub front_index: Option<usize>,
+    /// Classes of sessions; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// The ladder of rates, lowest first.
+    /// Ladder of bit rates, lowest first.
     pub ladder: Vec<Rung>,
-    /// The tenants, in the order their indices refer to.
+    /// Tenants; requests refer to them by index.
     pub tenants: Vec<Tenant>,
-    /// Worth of traffic past a tenant's share, as a part of the usual worth.
-    pub over_share_worth: f64,
-    /// Most streams of a server, by kind.
-    pub streams_by_kind: Vec<f64>,
-    /// Link of a server for each unit of its weight.
-    pub link_unit: f64,
-    /// Whether an entry's weight tells the server's size; else the kind's streams do.
-    pub weights_tell_size: bool,
-    /// Mean uplink of a rack.
-    pub rack_uplink: f64,
-    /// Number of cells; a title lies on a run of them. 0: every server holds every title.
-    pub cells: u64,
-    /// Number of racks; a server's rack is its cell modulo this. 0: no racks.
-    pub racks: u64,
-    /// What a further viewer of a live title adds, as a part of its rate; 1: nothing is shared.
-    pub join: f64,
-    /// How late notes on playing sessions are.
-    pub told_late: Duration,
-    /// Time between link notes; zero: there are none.
-    pub told_every: Duration,
-    /// What the caller permits.
+    /// Worth of traffic beyond a tenant's quota, as a fraction of its ordinary worth.
+    pub over_quota_worth: f64,
+    /// Highest number of streams of one server, by kind of server.
+    pub max_streams_by_kind: Vec<f64>,
+    /// Capacity of a server's link for each unit of the server's weight.
+    pub link_unit_kb_per_s: f64,
+    /// True if a server's weight gives the size of its link; false if the streams of its kind do.
+    pub sized_by_weight: bool,
+    /// Mean capacity of a rack's uplink; 0 if uplinks do not limit.
+    pub rack_uplink_kb_per_s: f64,
+    /// Number of cells; a title is stored on a run of them. 0 if every server holds every title.
+    pub cell_count: u64,
+    /// Number of racks; a server's rack is its cell modulo this number. 0 if there are no racks.
+    pub rack_count: u64,
+    /// Load that a further viewer of the same live stream adds, as a fraction of its rate; 1 if viewers share
+    /// nothing.
+    pub join_cost_fraction: f64,
+    /// Delay of session reports.
+    pub report_delay: Duration,
+    /// Interval between reports of a link's load; zero if there are none.
+    pub report_interval: Duration,
+    /// Limits that the caller sets.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the placement rules.
     pub rules: Rules,
-    /// Whether list changes come unasked.
+    /// True if changes of the server list are pushed; false if the front has to subscribe.
     pub list_pushed: bool,
 }
 
 /// A class of sessions.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// A set-up is wanted playing within this time.
-    pub aim: Duration,
-    /// Whether a set-up may take effect once only.
+    /// Time within which a set-up should lead to playing.
+    pub target_setup_time: Duration,
+    /// True if a set-up may be executed only once.
     pub at_most_once: bool,
     /// Worth of one second at a rung of worth 1.
     pub worth: f64,
-    /// The class's rates over those of the ladder.
-    pub scale: f64,
-    /// The lowest rung it may play at.
-    pub floor: usize,
-    /// The highest rung it may play at.
-    pub top: usize,
-    /// Whether its titles are live.
+    /// Factor between the class's rates and those of the ladder.
+    pub rate_scale: f64,
+    /// Lowest rung that the class may play at.
+    pub min_rung: usize,
+    /// Highest rung that the class may play at.
+    pub max_rung: usize,
+    /// True if the titles of the class are live streams.
     pub live: bool,
-    /// Sessions of one title that a front may hold; 0: no cap.
-    pub seats: usize,
+    /// Highest number of sessions of one title at this front; 0 for no limit.
+    pub max_sessions_per_title: usize,
 }
 
 /// One rung of the ladder.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rung {
-    /// Its rate, kB a second.
-    pub rate: f64,
-    /// What it earns, the top being 1.
+    /// Bit rate of the rung.
+    pub rate_kb_per_s: f64,
+    /// Worth of playing at the rung; 1 for the highest.
     pub worth: f64,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second within its share, over all fronts; 0: not told.
-    pub quota: f64,
+    /// Requests a second that the tenant may make over all fronts; 0 if unknown.
+    pub quota_per_s: f64,
 }
 
-/// What the caller permits.
+/// Limits that the caller sets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Limits {
-    /// Most attempts for one request.
-    pub attempts: u32,
-    /// The longest hold-off that clients follow; zero: they take none.
-    pub hold_off: Duration,
+    /// Highest number of attempts for one request.
+    pub max_attempts: u32,
+    /// Longest retry-after delay that clients respect; zero if they respect none.
+    pub max_retry_after: Duration,
 }
 
-/// The figures of the rules.
+/// Parameters of the placement rules.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rules {
-    /// A server is warm at the latest so long after its start.
-    pub cold: Duration,
-    /// The part of its capacity at which it starts.
-    pub cold_from: f64,
-    /// A cold server falls over at this multiple of its present capacity...
-    pub fall_multiple: f64,
-    /// ...kept up over this span...
-    pub fall_span: Duration,
-    /// ...with so many set-ups more in it than that multiple gives (N)...
-    pub fall_free: f64,
-    /// ...and so many times the root of N more.
-    pub fall_root: f64,
-    /// The ration of further attempts, where there is one.
-    pub ration: Option<Ration>,
-    /// Without a subscription, how often the list must be asked for (when it is not pushed).
-    pub ask_within: Duration,
+    /// Time after its start within which a server becomes warm.
+    pub warm_up: Duration,
+    /// Fraction of its capacity that a server has at its start.
+    pub cold_capacity_fraction: f64,
+    /// Multiple of its present capacity at which a cold server is overloaded.
+    pub overload_multiple: f64,
+    /// Window in which a cold server's set-ups are counted.
+    pub overload_window: Duration,
+    /// Set-ups that a window may hold beyond the number N that the multiple gives.
+    pub overload_margin: f64,
+    /// Factor of the square root of N, for still more set-ups in a window.
+    pub overload_margin_root: f64,
+    /// Budget of retries; `None` if retries are not limited.
+    pub retry_budget: Option<RetryBudget>,
+    /// Longest time between two subscriptions to a list that is not pushed.
+    pub list_refresh_interval: Duration,
 }
 
-/// A ration of further attempts.
+/// A budget of retries, counted over a sliding window.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ration {
-    /// Attempts always allowed.
-    pub free: f64,
-    /// Attempts allowed for each request taken.
-    pub share: f64,
-    /// The span both are counted over.
-    pub span: Duration,
+pub struct RetryBudget {
+    /// Retries that are always allowed in a window.
+    pub base: f64,
+    /// Further retries allowed for each request accepted in the window.
+    pub per_request: f64,
+    /// Length of the window.
+    pub window: Duration,
 }
--- a/crates/forecast/src/bound.rs
+++ b/crates/forecast/src/bound.rs
@@ -28,10 +28,11 @@
 /// Rows of one class, the dearest first.
 pub fn rows(set: &Settings, class: usize) -> Vec<Row> {
     let Some(c) = set.classes.get(class) else { return Vec::new() };
-    let shared = if c.live { set.join.clamp(1e-6, 1.0) } else { 1.0 };
-    let top = c.top.min(set.ladder.len().saturating_sub(1));
-    let points = set.ladder.iter().take(top + 1).skip(c.floor);
-    let points: Vec<_> = points.map(|r| (r.rate * c.scale * shared, r.worth * c.worth)).collect();
+    let shared = if c.live { set.join_cost_fraction.clamp(1e-6, 1.0) } else { 1.0 };
+    let top = c.max_rung.min(set.ladder.len().saturating_sub(1));
+    let points = set.ladder.iter().take(top + 1).skip(c.min_rung);
+    let points: Vec<_> =
+        points.map(|r| (r.rate_kb_per_s * c.rate_scale * shared, r.worth * c.worth)).collect();
     let (mut at, mut rows) = ((0.0, 0.0), Vec::new());
     loop {
         let steepest = |p: &(f64, f64)| (p.1 - at.1) / (p.0 - at.0).max(1e-9);
@@ -102,7 +103,7 @@
     // Servers of a cell and rack are one: whoever holds what lies in the cell reaches all of them.
     let mut links: BTreeMap<(u64, usize), f64> = BTreeMap::new();
     for (s, kb) in layout.servers.iter().zip(link_sizes(set, &layout.servers)) {
-        let cell = if set.cells == 0 { 0 } else { s.cell % set.cells };
+        let cell = if set.cell_count == 0 { 0 } else { s.cell % set.cell_count };
         *links.entry((cell, s.rack)).or_default() += kb * seconds;
     }
     let mut cells: BTreeMap<u64, NodeIndex> = BTreeMap::new();
@@ -115,7 +116,7 @@
         g.add_edge(source, at, grains(*kb));
         let place = LaidTitle { title: 0, first_cell: *first_cell, cells: *run };
         for (cell, node) in &cells {
-            if holds(&place, *cell, set.cells) {
+            if holds(&place, *cell, set.cell_count) {
                 g.add_edge(at, *node, grains(*kb));
             }
         }
--- a/crates/forecast/src/came.rs
+++ b/crates/forecast/src/came.rs
@@ -82,7 +82,7 @@
     /// Worth of a session at its top rung, from then on.
     pub fn worth(&self, set: &Settings, w: &Wanted, since: Duration) -> f64 {
         let Some(class) = set.classes.get(w.class) else { return 0.0 };
-        let top = class.top.min(set.ladder.len().saturating_sub(1));
+        let top = class.max_rung.min(set.ladder.len().saturating_sub(1));
         let one = set.ladder.get(top).map_or(0.0, |r| r.worth) * class.worth;
         one * w.seconds(self.from.max(since), self.to) as f64
     }
--- a/crates/forecast/src/cast.rs
+++ b/crates/forecast/src/cast.rs
@@ -1,7 +1,7 @@
 //! The fronts of a play: a module for each, or for a part of them.
 
 use crate::Layout;
-use cloverhollow::{Action, Brain, Entry, Event, ListMode, Listed, Settings};
+use cloverhollow::{Action, Event, ListEntry, ListMode, ServerState, SessionPolicy, Settings};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
     /// How many fronts it stands for.
     pub stands_for: usize,
     /// `None`: it was lost.
-    brain: Option<Brain>,
+    brain: Option<SessionPolicy>,
 }
 
 pub(crate) struct Cast {
@@ -34,10 +34,11 @@
             let k = ((n as f64 * part).round() as usize).clamp(1, n);
             groups.extend((0..k).map(|i| (hall, n / k + usize::from(i < n % k))));
         }
-        let set = Settings { fronts: layout.fronts.len(), list_pushed: true, ..set.clone() };
+        let set = Settings { front_count: layout.fronts.len(), list_pushed: true, ..set.clone() };
         let mut number = 0;
         let make = |(hall, n): (usize, usize)| {
-            let brain = Brain::new(Settings { number: Some(number), ..set.clone() }, rng.random());
+            let brain =
+                SessionPolicy::new(Settings { front_index: Some(number), ..set.clone() }, rng.random());
             number += n;
             Front { hall, stands_for: n, brain: Some(brain) }
         };
@@ -100,17 +101,17 @@
     /// The list as one front sees it. Servers in `cold` started then; those in `gone` are gone.
     pub fn list(&self, front: usize, layout: &Layout, news: &News) -> Event {
         let hall = self.fronts.get(front).map(|f| f.hall);
-        let entry = |s: &crate::LaidServer| Entry {
+        let entry = |s: &crate::LaidServer| ListEntry {
             server: s.server,
-            key: s.server,
+            shared_key: s.server,
             cell: s.cell,
             kind: s.kind,
             weight: s.weight,
-            state: if news.gone.contains(&s.server) { Listed::Gone } else { Listed::Serving },
-            started: if news.cold.contains(&s.server) { news.since } else { Duration::ZERO },
-            far: Some(s.hall) != hall,
+            state: if news.gone.contains(&s.server) { ServerState::Removed } else { ServerState::Serving },
+            started_at: if news.cold.contains(&s.server) { news.since } else { Duration::ZERO },
+            in_other_zone: Some(s.hall) != hall,
         };
-        Event::List(ListMode::Whole, layout.servers.iter().map(entry).collect())
+        Event::ListUpdate(ListMode::Full, layout.servers.iter().map(entry).collect())
     }
 }
 
--- a/crates/forecast/src/course.rs
+++ b/crates/forecast/src/course.rs
@@ -4,7 +4,9 @@
 use crate::play::{Live, Run, What, EPOCH};
 use crate::world::{Part, SetUp};
 use crate::{LaidTitle, Limiting};
-use cloverhollow::{Action, Call, Event, Note, Outcome, Report, RequestId, ServerId};
+use cloverhollow::{
+    Action, AttemptOutcome, Event, LoadReport, RequestId, ServerId, SessionReport, SessionRequest,
+};
 use rand::RngExt;
 use std::time::Duration;
 
@@ -30,21 +32,21 @@
         let w = &self.wanted[i];
         self.requests += 1;
         let id = self.requests;
-        let call = Call {
-            request: id,
+        let call = SessionRequest {
+            id,
             title: w.title,
             class: w.class,
             tenant: w.tenant,
-            top: self.stage.settings.classes.get(w.class).map_or(0, |c| c.top),
+            max_rung: self.stage.settings.classes.get(w.class).map_or(0, |c| c.max_rung),
             first_cell: title.first_cell,
-            cells: title.cells,
+            cell_count: title.cells,
             deadline: now + self.stage.manner.waits,
-            again: false,
+            is_repeat: false,
         };
         let live =
             Live { wanted: i, front, came: now - EPOCH, rung: 0, attempts: 0, at: None, follows: false };
         self.live.insert(id, live);
-        self.tell(front, Event::Call(call));
+        self.tell(front, Event::Request(call));
     }
 
     pub fn arrives(&mut self, now: Duration, id: RequestId, attempt: u32, server: ServerId) {
@@ -60,8 +62,8 @@
                     self.calls(now, i, &title, front);
                 }
             }
-            SetUp::NoServer => self.ended(id, attempt, server, Outcome::ConnectFailed, false),
-            SetUp::Full => self.ended(id, attempt, server, Outcome::Full, false),
+            SetUp::NoServer => self.ended(id, attempt, server, AttemptOutcome::ConnectFailed, false),
+            SetUp::Full => self.ended(id, attempt, server, AttemptOutcome::Full, false),
             SetUp::Plays => {
                 let many = self.cast.fronts[front].stands_for;
                 let which = if follows { self.rng.random_range(1..many.max(2)) } else { 0 };
@@ -73,19 +75,19 @@
                 if !follows {
                     self.tell(front, Event::Playing(id, attempt, server, Duration::ZERO));
                 }
-                if !follows && !self.stage.settings.told_every.is_zero() {
+                if !follows && !self.stage.settings.report_interval.is_zero() {
                     let link = self.world.link(now, server);
-                    self.tell(front, Event::Note(id, server, Note::Link(link)));
+                    self.tell(front, Event::SessionReport(id, server, SessionReport::LinkLoad(link)));
                 }
                 self.plan(until.max(now), What::Ends(id));
             }
         }
     }
 
-    pub fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, how: Outcome, over: bool) {
+    pub fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, how: AttemptOutcome, over: bool) {
         let Some(s) = self.live.get(&id) else { return };
         let front = s.front;
-        self.tell(front, Event::Ended(id, attempt, server, how, over, Report::default()));
+        self.tell(front, Event::AttemptEnded(id, attempt, server, how, over, LoadReport::default()));
     }
 
     /// A session is over. The front hears of links by notes alone.
@@ -98,8 +100,14 @@
         if s.follows {
             return;
         }
-        let over =
-            Event::Ended(id, s.attempts.saturating_sub(1), server, Outcome::Ok, true, Report::default());
+        let over = Event::AttemptEnded(
+            id,
+            s.attempts.saturating_sub(1),
+            server,
+            AttemptOutcome::Ok,
+            true,
+            LoadReport::default(),
+        );
         self.tell(s.front, over);
     }
 
@@ -120,7 +128,7 @@
                     false => self.plan(now + within, What::Late(id, attempt, server)),
                 }
             }
-            Action::Rung(id, rung) => {
+            Action::SetRung(id, rung) => {
                 let Some(s) = self.live.get_mut(&id) else { return };
                 let w = &self.wanted[s.wanted];
                 let part = Part { title: w.title, class: w.class, rung: s.rung };
@@ -137,7 +145,7 @@
                 }
                 self.refused(id);
             }
-            Action::Timer(after, token) => self.plan(now + after, What::Timer(front, token)),
+            Action::SetTimer(after, token) => self.plan(now + after, What::Timer(front, token)),
             Action::Subscribe => {
                 let list = self.cast.list(front, self.layout, &self.news);
                 self.tell(front, list);
@@ -152,7 +160,7 @@
         let w = &self.wanted[s.wanted];
         let worth = self.out.refused(self.stage.settings, w, s.came);
         let title = self.titles.get(&w.title);
-        let holders = title.map_or(Vec::new(), |t| self.layout.holders(t, self.stage.settings.cells));
+        let holders = title.map_or(Vec::new(), |t| self.layout.holders(t, self.stage.settings.cell_count));
         let there: Vec<_> = holders.iter().filter(|h| !self.news.gone.contains(h)).collect();
         if there.is_empty() {
             *self.out.came.blame.entry(Limiting::Title(w.title)).or_default() += worth;
--- a/crates/forecast/src/layout.rs
+++ b/crates/forecast/src/layout.rs
@@ -197,12 +197,12 @@
 
 /// What each server's link gives, as the module reckons it: by weight, or by its kind's streams.
 pub fn link_sizes(set: &Settings, servers: &[LaidServer]) -> Vec<f64> {
-    let streams = |s: &LaidServer| set.streams_by_kind.get(s.kind).copied().unwrap_or(1.0);
+    let streams = |s: &LaidServer| set.max_streams_by_kind.get(s.kind).copied().unwrap_or(1.0);
     let mean = servers.iter().map(streams).sum::<f64>() / servers.len().max(1) as f64;
-    let weight = |s: &LaidServer| match set.weights_tell_size {
+    let weight = |s: &LaidServer| match set.sized_by_weight {
         true => s.weight,
         false if mean > 0.0 => streams(s) / mean,
         false => 1.0,
     };
-    servers.iter().map(|s| set.link_unit * weight(s)).collect()
+    servers.iter().map(|s| set.link_unit_kb_per_s * weight(s)).collect()
 }
--- a/crates/forecast/src/play.rs
+++ b/crates/forecast/src/play.rs
@@ -6,7 +6,7 @@
 use crate::wanted::Wanted;
 use crate::world::{Loads, World};
 use crate::{LaidTitle, Layout};
-use cloverhollow::{Event, Note, Outcome, RequestId, ServerId, Settings};
+use cloverhollow::{AttemptOutcome, Event, RequestId, ServerId, SessionReport, Settings};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -94,7 +94,7 @@
     pub requests: RequestId,
     pub inbox: BTreeMap<usize, Vec<Event>>,
     /// Notes under way, by the seconds until they come.
-    pub late: VecDeque<Vec<(RequestId, ServerId, Note)>>,
+    pub late: VecDeque<Vec<(RequestId, ServerId, SessionReport)>>,
     pub short: BTreeSet<ServerId>,
     pub out: Collector,
 }
@@ -188,7 +188,9 @@
                 self.comes(now, i);
             }
             What::Arrives(id, attempt, server) => self.arrives(now, id, attempt, server),
-            What::Late(id, attempt, server) => self.ended(id, attempt, server, Outcome::Timeout, false),
+            What::Late(id, attempt, server) => {
+                self.ended(id, attempt, server, AttemptOutcome::Timeout, false)
+            }
             What::Ends(id) => self.ends(id),
             What::Timer(front, token) => self.tell(front, Event::Timer(token)),
         }
--- a/crates/forecast/src/upsets.rs
+++ b/crates/forecast/src/upsets.rs
@@ -4,7 +4,7 @@
 use crate::follow::FOLLOWERS;
 use crate::play::{places, Live, Run, What, EPOCH, SECOND};
 use crate::world::Part;
-use cloverhollow::{Event, Note, Outcome, Report, ServerId};
+use cloverhollow::{AttemptOutcome, Event, LoadReport, ServerId, SessionReport};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
         let loads = self.world.loads(now);
         self.out.second(now - EPOCH, &self.world, &loads);
         let set = self.stage.settings;
-        let every = (set.told_every.as_secs_f64().round() as u64).max(1);
+        let every = (set.report_interval.as_secs_f64().round() as u64).max(1);
         let mut notes = Vec::new();
         for (id, lane) in &self.world.lanes {
             let share = self.world.share(&loads, *id);
             let was = if share < 1.0 { !self.short.insert(*id) } else { self.short.remove(id) };
-            let due = !set.told_every.is_zero() && (now.as_secs() + id).is_multiple_of(every);
+            let due = !set.report_interval.is_zero() && (now.as_secs() + id).is_multiple_of(every);
             if !due && !was && share >= 1.0 {
                 continue;
             }
@@ -29,21 +29,21 @@
                 let all = if self.stage.manner.all_notes { sessions.len() } else { 1 };
                 for one in sessions.iter().take(all) {
                     if due {
-                        notes.push((*one, *id, Note::Link(link)));
+                        notes.push((*one, *id, SessionReport::LinkLoad(link)));
                     }
                 }
                 if let Some(one) = sessions.first().filter(|_| was || share < 1.0) {
-                    notes.push((*one, *id, Note::Share(share)));
+                    notes.push((*one, *id, SessionReport::DeliveredShare(share)));
                 }
             }
         }
         self.loads = loads;
         self.late.push_back(notes);
-        if self.late.len() as f64 > set.told_late.as_secs_f64().round() {
+        if self.late.len() as f64 > set.report_delay.as_secs_f64().round() {
             for (id, server, note) in self.late.pop_front().unwrap_or_default() {
                 if let Some(s) = self.live.get(&id).filter(|s| s.at == Some(server)) {
                     let front = s.front;
-                    self.tell(front, Event::Note(id, server, note));
+                    self.tell(front, Event::SessionReport(id, server, note));
                 }
             }
         }
@@ -91,7 +91,14 @@
                 self.world.end(at, if s.follows { FOLLOWERS } else { s.front }, id, part);
                 if !s.follows {
                     let attempt = s.attempts.saturating_sub(1);
-                    let ended = Event::Ended(id, attempt, at, Outcome::Reset, true, Report::default());
+                    let ended = Event::AttemptEnded(
+                        id,
+                        attempt,
+                        at,
+                        AttemptOutcome::Reset,
+                        true,
+                        LoadReport::default(),
+                    );
                     self.tell(s.front, ended);
                 }
             }
--- a/crates/forecast/src/verdict.rs
+++ b/crates/forecast/src/verdict.rs
@@ -57,7 +57,7 @@
     if it.steps.len() > MOST_STEPS + 1 {
         return Err(Fault::NoLayout);
     }
-    let cells = it.settings.cells;
+    let cells = it.settings.cell_count;
     // A title without a holder in a layout that is planned is a reason, not a fault.
     for step in it.steps {
         Layout { titles: Vec::new(), ..step.clone() }.check(cells)?;
@@ -96,7 +96,7 @@
 
 /// The fewest waves that stay under the bars, and of no more servers than what was learnt lets go at once.
 fn in_waves(it: &Asking, days: &Days, wanted: &BTreeSet<u64>, mut verdict: Verdict) -> Verdict {
-    let (from, cells) = (&it.steps[0], it.settings.cells);
+    let (from, cells) = (&it.steps[0], it.settings.cell_count);
     let halls = from.serves.len();
     let as_is = days.foretell(&from.into(), true, it.plan.few);
     let now_lost: Vec<_> = (0..halls)
--- a/crates/front/src/desk.rs
+++ b/crates/front/src/desk.rs
@@ -141,7 +141,7 @@
                 inputs.insert(0, Input::Counted { fronts: counted.flatten() });
             }
             let lists = inputs.iter().filter_map(|i| match i {
-                Input::List(news) => Some(news.mode == ListMode::Whole),
+                Input::List(news) => Some(news.mode == ListMode::Full),
                 _ => None,
             });
             let (listed, told) = lists.fold((false, false), |(_, told), whole| (true, told | whole));
--- a/crates/node/src/desk/lines.rs
+++ b/crates/node/src/desk/lines.rs
@@ -150,7 +150,7 @@
     fn note(&mut self, heard: &Heard, line: &Line) -> Result<(), DropReason> {
         let note = told::note(line).ok_or(DropReason::Unreadable)?;
         // It speaks of as long ago as notes are late.
-        let at = self.clock.now().saturating_sub(self.site.settings.told_late);
+        let at = self.clock.now().saturating_sub(self.site.settings.report_delay);
         if let Some(gossip) = &mut self.gossip {
             gossip.read(at, heard.server, note);
         }
--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/desk/mod.rs
@@ -19,7 +19,7 @@
 use crate::mail::Mail;
 use crate::viewer::{Came, ViewerHold, Waits};
 use bytes::Bytes;
-use cloverhollow::{Brain, ServerId};
+use cloverhollow::{ServerId, SessionPolicy};
 use cloverhollow_net::{unix_ms, Clock};
 use cloverhollow_platform::channel::{Directory, Told};
 use cloverhollow_platform::config::Config;
@@ -48,7 +48,7 @@
 /// Sessions that play already are handed over for so long after the first test was passed.
 const HANDED_OVER: Duration = Duration::from_secs(10);
 
-pub(crate) type NodeCore = Core<Brain, Ask, String>;
+pub(crate) type NodeCore = Core<SessionPolicy, Ask, String>;
 pub(crate) type In = Input<Ask, String>;
 
 /// What the desk may use.
--- a/crates/node/src/desk/news/tests.rs
+++ b/crates/node/src/desk/news/tests.rs
@@ -33,8 +33,8 @@
         let (mail, mails) = mpsc::channel(MOST_MAILS);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let core = Core::new(Brain::new(site.settings.clone(), 7), site.terms(), 7);
-        let watch = Watch::new(site.settings.told_every, site.idle_close, 8);
+        let core = Core::new(SessionPolicy::new(site.settings.clone(), 7), site.terms(), 7);
+        let watch = Watch::new(site.settings.report_interval, site.idle_close, 8);
         let bounds = Bounds { conns: 8, open: 8, open_on_one: 8, stop: STOP };
         let post = Post { mail, rung: mpsc::channel(8).1 };
         let (from, _) = watch::channel(From { address, cursor: 0, useless: 0 });
--- a/crates/node/src/desk/tests.rs
+++ b/crates/node/src/desk/tests.rs
@@ -54,14 +54,14 @@
             rates: vec![Arc::from([])],
             kinds: site.names.kinds.clone(),
             hall: site.names.zone.clone(),
-            hold_off: site.settings.limits.hold_off,
+            hold_off: site.settings.limits.max_retry_after,
             margin: Duration::ZERO,
             most: 1_000,
             waiting: 1,
             idle: None,
             memory: None,
         };
-        let core = Core::new(Brain::new(site.settings.clone(), 1), terms, 1);
+        let core = Core::new(SessionPolicy::new(site.settings.clone(), 1), terms, 1);
         let watch = Watch::new(Duration::ZERO, site.idle_close, 8);
         let (mail, mails) = mpsc::channel(crate::mail::MOST_MAILS);
         let (rings, rung) = mpsc::channel(64);
--- a/crates/node/src/desk/viewers.rs
+++ b/crates/node/src/desk/viewers.rs
@@ -73,7 +73,7 @@
             if let Ok(Wish::Setup(setup)) = viewer::read(message, &self.site) {
                 if setup.at.is_none() && !self.standing.knows(&setup.sid) {
                     tracing::info!(session = %setup.sid, conn = conn.0, "refused: its connection is being closed");
-                    self.write(conn, viewer::refusal(&setup.sid, self.site.settings.limits.hold_off));
+                    self.write(conn, viewer::refusal(&setup.sid, self.site.settings.limits.max_retry_after));
                 }
             }
         }
@@ -192,7 +192,7 @@
         let stopping = self.stopping(|stop| stop.refuse);
         if full || stopping {
             tracing::info!(session = %sid, conn = conn.0, full, stopping, "refused at once");
-            let refusal = viewer::refusal(&sid, self.site.settings.limits.hold_off);
+            let refusal = viewer::refusal(&sid, self.site.settings.limits.max_retry_after);
             self.write(conn, refusal);
             return Ok(());
         }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -5,7 +5,7 @@
 
 use crate::mail::Mail;
 use bytes::Bytes;
-use cloverhollow::{Note, ServerId};
+use cloverhollow::{ServerId, SessionReport};
 use cloverhollow_platform::gossip::{Cadence, Gossip, MOST_DATAGRAM};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,11 +48,11 @@
     }
 
     /// A video server told its load, as it was `at` that time.
-    pub(crate) fn read(&mut self, at: Duration, server: ServerId, note: Note) {
+    pub(crate) fn read(&mut self, at: Duration, server: ServerId, note: SessionReport) {
         match note {
-            Note::Link(link) => self.gossip.read(at, server, Some(link), None),
-            Note::Rack(rack) => self.gossip.read(at, server, None, Some(rack)),
-            Note::Share(_) | Note::Rung(_) => {}
+            SessionReport::LinkLoad(link) => self.gossip.read(at, server, Some(link), None),
+            SessionReport::UplinkLoad(rack) => self.gossip.read(at, server, None, Some(rack)),
+            SessionReport::DeliveredShare(_) | SessionReport::Rung(_) => {}
         }
     }
 
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -6,7 +6,7 @@
 use crate::listen;
 use crate::mail::{Mail, MOST_MAILS};
 use crate::viewer::Bell;
-use cloverhollow::Brain;
+use cloverhollow::SessionPolicy;
 use cloverhollow_net::{unix_ms, Clock};
 use cloverhollow_platform::config::{self, Config, ConfigError};
 use cloverhollow_platform::watch::Watch;
@@ -82,9 +82,9 @@
     let ahead = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
     let stop = Stop::new(site.deadlines.iter().copied().max().unwrap_or_default());
     let settings = site.settings.clone();
-    let core = Core::new(Brain::new(settings.clone(), seed), site.terms(), seed);
-    // A server where sessions stand sends a link note on one of them each `told_every`.
-    let watch = Watch::new(settings.told_every, site.idle_close, room.sockets / 8);
+    let core = Core::new(SessionPolicy::new(settings.clone(), seed), site.terms(), seed);
+    // A server where sessions stand sends a link note on one of them each `report_interval`.
+    let watch = Watch::new(settings.report_interval, site.idle_close, room.sockets / 8);
     let bounds =
         Bounds { conns: room.sockets / 2, open: room.sockets / 4, open_on_one: room.sockets / 8, stop };
     let mut desk =
--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -87,7 +87,7 @@
             let missing = self.by_name.extract_if(|_, listing| !named.contains(&listing.id));
             self.left.extend(missing.map(|(name, listing)| ((name, listing.process), listing.id)));
         }
-        let mode = if whole { ListMode::Whole } else { ListMode::Patch };
+        let mode = if whole { ListMode::Full } else { ListMode::Patch };
         Ok(Some(ListNews { mode, version: self.cursor, entries }))
     }
 
--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -5,7 +5,7 @@
 //! is one more reading, with its age; no rule rests on it. A datagram that is lost, late, doubled or garbled costs nothing but
 //! its bytes, and a lie is believed for as long as a reading is.
 
-use cloverhollow::{Heard, Report, ServerId};
+use cloverhollow::{LoadReport, PeerReport, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -138,7 +138,7 @@
     }
 
     /// What another told: what is younger than what is known here.
-    pub fn heard(&mut self, now: Duration, bytes: &[u8]) -> Vec<Heard> {
+    pub fn heard(&mut self, now: Duration, bytes: &[u8]) -> Vec<PeerReport> {
         let good = bytes.len() <= MOST_DATAGRAM
             && bytes.len() > LEAD
             && (bytes.len() - LEAD).is_multiple_of(ENTRY)
@@ -154,8 +154,8 @@
                 continue;
             }
             self.known.insert(server, Known { digest, link: e[2], rack: e[3], at, told: 0 });
-            let report = Report { link: share(e[2]), rack: share(e[3]) };
-            out.push(Heard { server, report, age, ..Heard::default() });
+            let report = LoadReport { link_load: share(e[2]), uplink_load: share(e[3]) };
+            out.push(PeerReport { server, load: report, load_age: age, ..PeerReport::default() });
         }
         out
     }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -4,7 +4,7 @@
 mod figures;
 mod wire;
 
-use cloverhollow::{Class, Limits, Ration, Rules, Rung, Settings, Tenant};
+use cloverhollow::{Class, Limits, RetryBudget, Rules, Rung, Settings, Tenant};
 use cloverhollow_session::{ClassTerms, Terms};
 use figures::Whole;
 use std::sync::Arc;
@@ -90,51 +90,51 @@
     let highest = d.level_kb.len().saturating_sub(1);
     let class = |(i, g): (usize, &WireGrade)| Class {
         // Without an aim the deadline is what is aimed at: with none at all each first attempt would be over at once.
-        aim: [g.aim.0, g.deadline.0].into_iter().find(|t| !t.is_zero()).unwrap_or(UNAIMED),
+        target_setup_time: [g.aim.0, g.deadline.0].into_iter().find(|t| !t.is_zero()).unwrap_or(UNAIMED),
         at_most_once: g.effect != REPEATABLE,
         worth: g.importance.0,
-        scale: d.scale_by_class.get(i).map_or(1.0, |s| s.0),
-        floor: at(&d.floor_by_class, i).unwrap_or(0),
-        top: at(&d.class_top, i).unwrap_or(highest),
+        rate_scale: d.scale_by_class.get(i).map_or(1.0, |s| s.0),
+        min_rung: at(&d.floor_by_class, i).unwrap_or(0),
+        max_rung: at(&d.class_top, i).unwrap_or(highest),
         live: d.class_live.get(i).copied().unwrap_or(false),
-        seats: at(&d.seats, i).unwrap_or(0),
+        max_sessions_per_title: at(&d.seats, i).unwrap_or(0),
     };
     let worth = |i: usize| d.ladder_worth.get(i).map_or(0.0, |w| w.0);
     let rungs = d.level_kb.iter().enumerate();
     let r = w.invariants;
     let settings = Settings {
-        fronts: w.balancers.0,
-        number: w.index.map(|i| i.0),
+        front_count: w.balancers.0,
+        front_index: w.index.map(|i| i.0),
         classes: w.grades.iter().enumerate().map(class).collect(),
-        ladder: rungs.map(|(i, rate)| Rung { rate: rate.0, worth: worth(i) }).collect(),
-        tenants: w.tenants.iter().map(|t| Tenant { quota: t.quota_per_s.0 }).collect(),
-        over_share_worth: w.over_share_worth.0,
-        streams_by_kind: d.places_by_kind.iter().map(|p| p.0).collect(),
-        link_unit: d.link_unit_kb.0,
-        weights_tell_size: w.weights != "none",
-        rack_uplink: d.rack_link_kb.0,
-        cells: d.places.0 as u64,
-        racks: d.shelves.0 as u64,
-        join: d.join.map_or(1.0, |j| j.0),
-        told_late: d.told_late.0,
-        told_every: d.told_every.0,
+        ladder: rungs.map(|(i, rate)| Rung { rate_kb_per_s: rate.0, worth: worth(i) }).collect(),
+        tenants: w.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s.0 }).collect(),
+        over_quota_worth: w.over_share_worth.0,
+        max_streams_by_kind: d.places_by_kind.iter().map(|p| p.0).collect(),
+        link_unit_kb_per_s: d.link_unit_kb.0,
+        sized_by_weight: w.weights != "none",
+        rack_uplink_kb_per_s: d.rack_link_kb.0,
+        cell_count: d.places.0 as u64,
+        rack_count: d.shelves.0 as u64,
+        join_cost_fraction: d.join.map_or(1.0, |j| j.0),
+        report_delay: d.told_late.0,
+        report_interval: d.told_every.0,
         limits: Limits {
-            attempts: w.limits.most_tries.map_or(1, |t| t.0.min(MOST_ATTEMPTS)) as u32,
-            hold_off: if w.limits.retry_after { w.limits.max_retry_after.0 } else { Duration::ZERO },
+            max_attempts: w.limits.most_tries.map_or(1, |t| t.0.min(MOST_ATTEMPTS)) as u32,
+            max_retry_after: if w.limits.retry_after { w.limits.max_retry_after.0 } else { Duration::ZERO },
         },
         rules: Rules {
-            cold: r.cold.0,
-            cold_from: r.cold_from.0,
-            fall_multiple: r.fall_multiple.0,
-            fall_span: r.fall.0,
-            fall_free: FALL_FREE,
-            fall_root: FALL_ROOT,
-            ration: r.budget_span.map(|span| Ration {
-                free: r.budget_free.map_or(0.0, |f| f.0),
-                share: r.extra_share.map_or(0.0, |s| s.0),
-                span: span.0,
+            warm_up: r.cold.0,
+            cold_capacity_fraction: r.cold_from.0,
+            overload_multiple: r.fall_multiple.0,
+            overload_window: r.fall.0,
+            overload_margin: FALL_FREE,
+            overload_margin_root: FALL_ROOT,
+            retry_budget: r.budget_span.map(|span| RetryBudget {
+                base: r.budget_free.map_or(0.0, |f| f.0),
+                per_request: r.extra_share.map_or(0.0, |s| s.0),
+                window: span.0,
             }),
-            ask_within: r.ask_within.0,
+            list_refresh_interval: r.ask_within.0,
         },
         list_pushed: w.discovery != "on_request",
     };
@@ -167,7 +167,7 @@
             rates: s.classes.iter().map(|_| Arc::from([])).collect(),
             kinds: self.names.kinds.clone(),
             hall: self.names.zone.clone(),
-            hold_off: s.limits.hold_off,
+            hold_off: s.limits.max_retry_after,
             margin: MARGIN,
             most: MOST_SESSIONS,
             waiting: 1,
--- a/crates/platform/src/told.rs
+++ b/crates/platform/src/told.rs
@@ -1,7 +1,7 @@
 //! What a video server's line tells of its load and of a session, in the core's words and units: shares, 1 being all.
 
 use crate::lines::Line;
-use cloverhollow::Note;
+use cloverhollow::SessionReport;
 use cloverhollow_session::Load;
 
 /// The report that a line carries.
@@ -20,13 +20,13 @@
 }
 
 /// What a note says.
-pub fn note(line: &Line) -> Option<Note> {
+pub fn note(line: &Line) -> Option<SessionReport> {
     let value: f64 = line.field("value")?.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match line.field("note")? {
-        "kept_up" => Note::Share(value),
-        "tier" => Note::Rung(value as usize),
-        "wire" => Note::Link(value),
-        "trunk" => Note::Rack(value),
+        "kept_up" => SessionReport::DeliveredShare(value),
+        "tier" => SessionReport::Rung(value as usize),
+        "wire" => SessionReport::LinkLoad(value),
+        "trunk" => SessionReport::UplinkLoad(value),
         _ => return None,
     })
 }
--- a/crates/record/src/forms.rs
+++ b/crates/record/src/forms.rs
@@ -1,31 +1,34 @@
 //! The module's vocabulary as serde sees it. The interface itself stays free of any format.
 
 use cloverhollow::{
-    Action, Before, Call, Entry, Event, Heard, ListMode, Listed, Note, Outcome, Report, RequestId, ServerId,
-    TitleId,
+    Action, AttemptOutcome, Event, ListEntry, ListMode, LoadReport, PeerReport, RecoveredHistory, RequestId,
+    ServerId, ServerState, SessionReport, SessionRequest, TitleId,
 };
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::time::Duration;
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Listed")]
+#[serde(remote = "ServerState")]
 enum ListedForm {
     Serving,
     Draining,
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "ListMode")]
 enum ListModeForm {
     Patch,
-    Whole,
+    #[serde(rename = "Whole")]
+    Full,
     Stale,
-    Broken,
+    #[serde(rename = "Broken")]
+    Failed,
 }
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Outcome")]
+#[serde(remote = "AttemptOutcome")]
 enum OutcomeForm {
     Ok,
     Error,
@@ -34,101 +37,130 @@
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
+    #[serde(rename = "Moot")]
+    NotSent,
 }
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Report")]
+#[serde(remote = "LoadReport")]
 struct ReportForm {
-    link: Option<f64>,
-    rack: Option<f64>,
+    #[serde(rename = "link")]
+    link_load: Option<f64>,
+    #[serde(rename = "rack")]
+    uplink_load: Option<f64>,
 }
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Note")]
+#[serde(remote = "SessionReport")]
 enum NoteForm {
-    Share(f64),
+    #[serde(rename = "Share")]
+    DeliveredShare(f64),
     Rung(usize),
-    Link(f64),
-    Rack(f64),
+    #[serde(rename = "Link")]
+    LinkLoad(f64),
+    #[serde(rename = "Rack")]
+    UplinkLoad(f64),
 }
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Call")]
+#[serde(remote = "SessionRequest")]
 struct CallForm {
-    request: RequestId,
+    #[serde(rename = "request")]
+    id: RequestId,
     title: TitleId,
     class: usize,
     tenant: Option<usize>,
-    top: usize,
+    #[serde(rename = "top")]
+    max_rung: usize,
     first_cell: u64,
-    cells: u64,
+    #[serde(rename = "cells")]
+    cell_count: u64,
     deadline: Duration,
-    again: bool,
+    #[serde(rename = "again")]
+    is_repeat: bool,
 }
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Entry")]
+#[serde(remote = "ListEntry")]
 struct EntryForm {
     server: ServerId,
     cell: u64,
     kind: usize,
     weight: f64,
     #[serde(with = "ListedForm")]
-    state: Listed,
-    started: Duration,
-    #[serde(default)]
-    key: u64,
-    #[serde(default)]
-    far: bool,
+    state: ServerState,
+    #[serde(rename = "started")]
+    started_at: Duration,
+    #[serde(rename = "key", default)]
+    shared_key: u64,
+    #[serde(rename = "far", default)]
+    in_other_zone: bool,
 }
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Heard")]
+#[serde(remote = "PeerReport")]
 struct HeardForm {
     server: ServerId,
     #[serde(with = "ListedForm")]
-    state: Listed,
-    started: Duration,
+    state: ServerState,
+    #[serde(rename = "started")]
+    started_at: Duration,
     failed: bool,
-    lost: bool,
+    #[serde(rename = "lost")]
+    may_have_restarted: bool,
     #[serde(with = "ReportForm")]
-    report: Report,
-    age: Duration,
+    #[serde(rename = "report")]
+    load: LoadReport,
+    #[serde(rename = "age")]
+    load_age: Duration,
 }
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "Before")]
+#[serde(remote = "RecoveredHistory")]
 struct BeforeForm {
-    further: Vec<Duration>,
-    known: Duration,
-    ran: Option<Duration>,
-    late: Duration,
+    #[serde(rename = "further")]
+    retry_ages: Vec<Duration>,
+    #[serde(rename = "known")]
+    complete_for: Duration,
+    #[serde(rename = "ran")]
+    last_setup_age: Option<Duration>,
+    #[serde(rename = "late")]
+    list_delay: Duration,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Event")]
 enum EventForm {
-    List(#[serde(with = "ListModeForm")] ListMode, #[serde(with = "Entries")] Vec<Entry>),
-    Call(#[serde(with = "CallForm")] Call),
-    Adopted(#[serde(with = "CallForm")] Call, ServerId),
+    #[serde(rename = "List")]
+    ListUpdate(#[serde(with = "ListModeForm")] ListMode, #[serde(with = "Entries")] Vec<ListEntry>),
+    #[serde(rename = "Call")]
+    Request(#[serde(with = "CallForm")] SessionRequest),
+    Adopted(#[serde(with = "CallForm")] SessionRequest, ServerId),
     Playing(RequestId, u32, ServerId, Duration),
-    Note(RequestId, ServerId, #[serde(with = "NoteForm")] Note),
-    Ended(
+    #[serde(rename = "Note")]
+    SessionReport(RequestId, ServerId, #[serde(with = "NoteForm")] SessionReport),
+    #[serde(rename = "Ended")]
+    AttemptEnded(
         RequestId,
         u32,
         ServerId,
-        #[serde(with = "OutcomeForm")] Outcome,
+        #[serde(with = "OutcomeForm")] AttemptOutcome,
         bool,
-        #[serde(with = "ReportForm")] Report,
+        #[serde(with = "ReportForm")] LoadReport,
     ),
-    Gone(RequestId),
+    #[serde(rename = "Gone")]
+    ViewerLeft(RequestId),
     Timer(u64),
-    Heard(#[serde(with = "HeardForm")] Heard),
-    Before(#[serde(with = "BeforeForm")] Before),
-    Clock(Duration),
-    Counted {
-        fronts: Option<usize>,
+    #[serde(rename = "Heard")]
+    PeerReport(#[serde(with = "HeardForm")] PeerReport),
+    #[serde(rename = "Before")]
+    RecoveredHistory(#[serde(with = "BeforeForm")] RecoveredHistory),
+    #[serde(rename = "Clock")]
+    ClockOffset(Duration),
+    #[serde(rename = "Counted")]
+    FleetSize {
+        #[serde(rename = "fronts")]
+        max_fronts: Option<usize>,
     },
 }
 
@@ -136,10 +168,12 @@
 #[serde(remote = "Action")]
 enum ActionForm {
     Send(RequestId, ServerId, Duration),
-    Rung(RequestId, usize),
+    #[serde(rename = "Rung")]
+    SetRung(RequestId, usize),
     Refuse(RequestId, Duration),
     Fail(RequestId),
-    Timer(Duration, u64),
+    #[serde(rename = "Timer")]
+    SetTimer(Duration, u64),
     Subscribe,
     Log(String),
 }
@@ -182,5 +216,5 @@
 lists! {
     OneEvent Event, EventForm, "EventForm", EventsRef, Events;
     OneAction Action, ActionForm, "ActionForm", ActionsRef, Actions;
-    OneEntry Entry, EntryForm, "EntryForm", EntriesRef, Entries;
+    OneEntry ListEntry, EntryForm, "EntryForm", EntriesRef, Entries;
 }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use write::{Recorder, MOST_BYTES, MOST_WAITING};
 
-use cloverhollow::{Action, Brain, Event};
+use cloverhollow::{Action, Event, SessionPolicy};
 use cloverhollow_settings::{FrontSettings, SettingsError};
 use forms::{Actions, Events};
 use serde::{Deserialize, Serialize};
@@ -166,7 +166,7 @@
         return Err(RecordError::Format { file, format: head.format });
     }
     let settings = FrontSettings::parse(&file, &head.settings)?;
-    let mut brain = Brain::new(settings.decisions(), head.seed);
+    let mut brain = SessionPolicy::new(settings.decisions(), head.seed);
     let mut out = Replay::default();
     loop {
         let body = match frames.next()? {
--- a/crates/session/src/core/actions.rs
+++ b/crates/session/src/core/actions.rs
@@ -6,7 +6,7 @@
 use crate::stats::count;
 use crate::timers::Due;
 use crate::types::*;
-use cloverhollow::{Action, Event, Outcome, Report, RequestId, ServerId};
+use cloverhollow::{Action, AttemptOutcome, Event, LoadReport, RequestId, ServerId};
 use cloverhollow_recovery::Deed;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     pub(super) fn act(&mut self, action: Action) {
         match action {
             Action::Send(request, server, within) => self.send(request, server, within),
-            Action::Rung(request, rung) => self.set_rung(request, rung),
+            Action::SetRung(request, rung) => self.set_rung(request, rung),
             Action::Refuse(request, after) => {
                 let not_kept = self.sessions.get(&request).is_some_and(|s| s.not_kept);
                 let reason = match self.list.serving() {
@@ -39,7 +39,7 @@
                 };
                 self.finish(request, || Answer::Failed { late, reason });
             }
-            Action::Timer(after, token) => self.timers.arm(self.now + after, Due::Policy(token)),
+            Action::SetTimer(after, token) => self.timers.arm(self.now + after, Due::Policy(token)),
             // The shell keeps its subscription by itself: the settings say that the list is pushed.
             Action::Subscribe => {}
             Action::Log(words) => tracing::info!("{words}"),
@@ -54,8 +54,15 @@
         s.sent += 1;
         let attempt = AttemptId { request, number };
         let Some(address) = self.list.address(server) else {
-            let report = Report::default();
-            self.events.push(Event::Ended(request, number, server, Outcome::Moot, false, report));
+            let report = LoadReport::default();
+            self.events.push(Event::AttemptEnded(
+                request,
+                number,
+                server,
+                AttemptOutcome::NotSent,
+                false,
+                report,
+            ));
             return;
         };
         s.phase = Phase::Out { attempt, server, address, since: self.now, recalled: None };
--- a/crates/session/src/core/attempts.rs
+++ b/crates/session/src/core/attempts.rs
@@ -5,7 +5,7 @@
 use crate::policy::Policy;
 use crate::stats::count;
 use crate::types::*;
-use cloverhollow::{Event, Outcome};
+use cloverhollow::{AttemptOutcome, Event};
 use cloverhollow_recovery::{digest, Deed};
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
@@ -79,31 +79,31 @@
         // Not by why it was recalled: its time may have been up before its viewer went.
         let left = s.gone;
         let outcome = match (end, recalled) {
-            (AttemptEnd::NotConnected, _) => Outcome::ConnectFailed,
-            (AttemptEnd::Full, _) => Outcome::Full,
-            (AttemptEnd::Error { .. }, _) => Outcome::Error,
-            (AttemptEnd::Reset, _) => Outcome::Reset,
+            (AttemptEnd::NotConnected, _) => AttemptOutcome::ConnectFailed,
+            (AttemptEnd::Full, _) => AttemptOutcome::Full,
+            (AttemptEnd::Error { .. }, _) => AttemptOutcome::Error,
+            (AttemptEnd::Reset, _) => AttemptOutcome::Reset,
             // Time ran out before a connection was made: it never ran, and the server is out of reach.
-            (AttemptEnd::NeverSent, Some(RecallWhy::TimedOut)) => Outcome::ConnectFailed,
-            (AttemptEnd::NeverSent | AttemptEnd::NotKept, _) => Outcome::Moot,
-            (AttemptEnd::Unanswered, Some(RecallWhy::HungUp)) => Outcome::Cancelled,
-            (AttemptEnd::Unanswered, _) => Outcome::Timeout,
+            (AttemptEnd::NeverSent, Some(RecallWhy::TimedOut)) => AttemptOutcome::ConnectFailed,
+            (AttemptEnd::NeverSent | AttemptEnd::NotKept, _) => AttemptOutcome::NotSent,
+            (AttemptEnd::Unanswered, Some(RecallWhy::HungUp)) => AttemptOutcome::Cancelled,
+            (AttemptEnd::Unanswered, _) => AttemptOutcome::Timeout,
         };
         match outcome {
-            Outcome::Error => self.learning.behaved(self.now, server, false, false),
-            Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => {
-                self.learning.behaved(self.now, server, false, outcome != Outcome::Timeout);
+            AttemptOutcome::Error => self.learning.behaved(self.now, server, false, false),
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::Timeout => {
+                self.learning.behaved(self.now, server, false, outcome != AttemptOutcome::Timeout);
                 self.commands.extend(self.lives.behaved(server, false).map(Command::Keep));
             }
             _ => {}
         }
-        if outcome == Outcome::Moot {
+        if outcome == AttemptOutcome::NotSent {
             count(&self.stats.recalled_unsent);
         }
         tracing::info!(session = %s.sid, %attempt, server, ?end, "attempt ended");
         s.phase = Phase::Deciding;
         s.not_kept |= end == AttemptEnd::NotKept;
-        if !outcome.never_ran() {
+        if !outcome.never_executed() {
             s.ran = Some(end);
             if s.paid {
                 self.lives.ran(&s.sid);
@@ -113,7 +113,8 @@
         } else if s.paid && s.ran.is_none() && end != AttemptEnd::NotKept {
             self.commands.push(Command::Keep(Deed::Unrun { sid: digest(&s.sid) }));
         }
-        let ended = Event::Ended(attempt.request, attempt.number, server, outcome, left, load.report());
+        let ended =
+            Event::AttemptEnded(attempt.request, attempt.number, server, outcome, left, load.report());
         self.events.push(ended);
         if left {
             let (waiting, paid_ran) = (std::mem::take(&mut s.waiting), s.paid && s.ran.is_some());
--- a/crates/session/src/core/inputs.rs
+++ b/crates/session/src/core/inputs.rs
@@ -5,7 +5,7 @@
 use crate::policy::Policy;
 use crate::timers::Due;
 use crate::types::*;
-use cloverhollow::{Before, Event};
+use cloverhollow::{Event, RecoveredHistory};
 use cloverhollow_recovery::{Recovered, Trust};
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
             Input::Told { peer, asked_at, nonce, message } => {
                 let merged = self.learning.merge(self.now, asked_at, nonce, &message);
                 let outcome = merged.map(|(heard, said)| {
-                    self.events.extend(heard.into_iter().map(Event::Heard));
+                    self.events.extend(heard.into_iter().map(Event::PeerReport));
                     said
                 });
                 if let Err(error) = outcome {
@@ -37,13 +37,13 @@
                 }
                 self.commands.push(Command::Merged { peer, outcome });
             }
-            Input::Clock(ahead) => self.events.push(Event::Clock(ahead)),
-            Input::Heard(heard) => self.events.push(Event::Heard(heard)),
-            Input::Counted { fronts } => self.events.push(Event::Counted { fronts }),
+            Input::Clock(ahead) => self.events.push(Event::ClockOffset(ahead)),
+            Input::Heard(heard) => self.events.push(Event::PeerReport(heard)),
+            Input::Counted { fronts } => self.events.push(Event::FleetSize { max_fronts: fronts }),
             Input::Recovered(recovered) => self.recovered(*recovered),
             Input::Remembered(message) => {
                 let heard = self.learning.remember(self.now, &message);
-                self.events.extend(heard.into_iter().map(Event::Heard));
+                self.events.extend(heard.into_iter().map(Event::PeerReport));
             }
         }
     }
@@ -86,6 +86,11 @@
         // A front that keeps nothing has no list but what discovery tells it from now on.
         let doubts = !matches!(r.trust, Trust::First | Trust::Unkept);
         let late = self.terms.memory.as_ref().filter(|_| doubts).map_or(Duration::ZERO, |m| m.list_late);
-        self.events.push(Event::Before(Before { further: r.further, known: r.known, ran, late }));
+        self.events.push(Event::RecoveredHistory(RecoveredHistory {
+            retry_ages: r.further,
+            complete_for: r.known,
+            last_setup_age: ran,
+            list_delay: late,
+        }));
     }
 }
--- a/crates/session/src/core/list_news.rs
+++ b/crates/session/src/core/list_news.rs
@@ -14,14 +14,14 @@
         let heard = self.learning.listed(self.now, &news);
         self.lives.remind(&mut news);
         let applied = self.list.apply(self.now, &news, &self.terms);
-        if news.mode == ListMode::Broken {
+        if news.mode == ListMode::Failed {
             tracing::warn!(version = self.list.version(), "server list broken; the last one stays");
         }
-        self.events.push(Event::List(news.mode, applied.entries));
-        self.events.extend(heard.into_iter().map(Event::Heard));
+        self.events.push(Event::ListUpdate(news.mode, applied.entries));
+        self.events.extend(heard.into_iter().map(Event::PeerReport));
         let failed = self.lives.remembers(|server| self.list.address(server).is_some());
-        self.events.extend(failed.into_iter().map(Event::Heard));
-        let whole = news.mode == ListMode::Whole;
+        self.events.extend(failed.into_iter().map(Event::PeerReport));
+        let whole = news.mode == ListMode::Full;
         for (address, held) in self.lives.let_go(whole, |server| self.list.address(server)) {
             let (server, sid) = (held.server, Sid::from(held.sid));
             self.commands.push(Command::Release { address, server, sid });
--- a/crates/session/src/core/playing.rs
+++ b/crates/session/src/core/playing.rs
@@ -6,7 +6,7 @@
 use crate::routes::Route;
 use crate::timers::Due;
 use crate::types::*;
-use cloverhollow::{Event, Note, Outcome, RequestId, ServerId};
+use cloverhollow::{AttemptOutcome, Event, RequestId, ServerId, SessionReport};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, AtomicU64};
 use std::sync::Arc;
@@ -42,12 +42,12 @@
     }
 
     /// News on a session that plays, as its server told it.
-    pub(super) fn note(&mut self, sid: &Sid, note: Note) {
+    pub(super) fn note(&mut self, sid: &Sid, note: SessionReport) {
         let Some(request) = self.by_sid.get(sid).copied() else { return };
         let Some(Session { phase: Phase::Playing { route, .. }, .. }) = self.sessions.get(&request) else {
             return;
         };
-        self.events.push(Event::Note(request, route.server, note));
+        self.events.push(Event::SessionReport(request, route.server, note));
     }
 
     pub(super) fn reading(&mut self, request: RequestId, server: ServerId, load: Load) {
@@ -59,15 +59,19 @@
             return;
         }
         self.learning.read(self.now, server, load);
-        let notes = [load.share.map(Note::Share), load.rack.map(Note::Rack), load.link.map(Note::Link)];
-        self.events.extend(notes.into_iter().flatten().map(|n| Event::Note(request, server, n)));
+        let notes = [
+            load.share.map(SessionReport::DeliveredShare),
+            load.rack.map(SessionReport::UplinkLoad),
+            load.link.map(SessionReport::LinkLoad),
+        ];
+        self.events.extend(notes.into_iter().flatten().map(|n| Event::SessionReport(request, server, n)));
     }
 
     pub(super) fn over(&mut self, request: RequestId, why: OverWhy, load: Load) {
         let Some(s) = self.sessions.get(&request) else { return };
         // While it is being set up, its request gets its own answer first.
         let Phase::Playing { attempt, route } = &s.phase else { return };
-        let outcome = if why == OverWhy::Lost { Outcome::Reset } else { Outcome::Ok };
+        let outcome = if why == OverWhy::Lost { AttemptOutcome::Reset } else { AttemptOutcome::Ok };
         self.stats.over(why);
         tracing::debug!(session = %s.sid, server = route.server, ?why, "over");
         let (address, server) = (route.address, route.server);
@@ -78,7 +82,7 @@
         let sid = s.sid.clone();
         self.commands.push(Command::Release { address, server, sid: sid.clone() });
         self.commands.push(Command::Over { sid, server, why });
-        self.events.push(Event::Ended(request, attempt.number, server, outcome, true, load.report()));
+        self.events.push(Event::AttemptEnded(request, attempt.number, server, outcome, true, load.report()));
         self.forget(request);
     }
 
--- a/crates/session/src/core/viewers.rs
+++ b/crates/session/src/core/viewers.rs
@@ -35,7 +35,7 @@
         let request = self.next_request;
         self.next_request += 1;
         let deadline = self.now + a.patience.saturating_sub(self.terms.margin);
-        self.events.push(Event::Call(a.call(request, deadline)));
+        self.events.push(Event::Request(a.call(request, deadline)));
         self.note_hints(&a);
         self.by_sid.insert(a.sid.clone(), request);
         let waiting = vec![Waiter { viewer: a.viewer, owner: true, anew: None }];
@@ -140,14 +140,14 @@
         let Some(s) = self.sessions.get_mut(&request).filter(|s| s.waiting.is_empty()) else { return };
         match s.phase {
             Phase::Deciding => {
-                self.events.push(Event::Gone(request));
+                self.events.push(Event::ViewerLeft(request));
                 self.forget(request);
             }
             Phase::Out { attempt, .. } => {
                 if std::mem::replace(&mut s.gone, true) {
                     return; // one who came after the last one left has left too
                 }
-                self.events.push(Event::Gone(request));
+                self.events.push(Event::ViewerLeft(request));
                 self.recall(attempt, RecallWhy::HungUp);
             }
             Phase::Playing { .. } => {}
--- a/crates/session/src/learn.rs
+++ b/crates/session/src/learn.rs
@@ -5,7 +5,7 @@
 use crate::terms::MemoryTerms;
 use crate::types::{Load, PeerSaid};
 use arc_swap::ArcSwap;
-use cloverhollow::{Heard, ListMode, Listed, Report};
+use cloverhollow::{ListMode, LoadReport, PeerReport, ServerState};
 use cloverhollow_knowledge::facts::{Facts, Observer, Piece, Standing, Start, State};
 use cloverhollow_knowledge::wire::Message;
 use cloverhollow_knowledge::{Book, BookView, MergeError};
@@ -81,8 +81,8 @@
 
     /// The own list told news. Gives peers' newer words on drains again, which the list has just overwritten:
     /// guards against an own stream that is behind its peers'.
-    pub(crate) fn listed(&mut self, now: Duration, news: &ListNews) -> Vec<Heard> {
-        if news.mode == ListMode::Broken || !self.on {
+    pub(crate) fn listed(&mut self, now: Duration, news: &ListNews) -> Vec<PeerReport> {
+        if news.mode == ListMode::Failed || !self.on {
             return Vec::new();
         }
         for e in &news.entries {
@@ -109,7 +109,7 @@
         asked_at: Duration,
         nonce: u64,
         message: &Message,
-    ) -> Result<(Vec<Heard>, PeerSaid), MergeError> {
+    ) -> Result<(Vec<PeerReport>, PeerSaid), MergeError> {
         if now >= self.forgot + CLEAR {
             self.forgot = now;
             self.book.forget_old(now);
@@ -121,7 +121,7 @@
 
     /// What this front knew before its start. How long it was away is not known (clocks jump), so only what
     /// goes by versions is taken: states and starts, never load or health.
-    pub(crate) fn remember(&mut self, now: Duration, message: &Message) -> Vec<Heard> {
+    pub(crate) fn remember(&mut self, now: Duration, message: &Message) -> Vec<PeerReport> {
         let remembered = message.without_ages();
         let merged = self.book.merge(now, now, remembered.nonce, &remembered);
         let learned = merged.map(|m| m.learned).unwrap_or_default();
@@ -129,11 +129,11 @@
     }
 
     /// Pieces as the module takes them: one event, and one more where the uplink's reading has another age.
-    fn event(&self, now: Duration, server: u64, f: &Facts) -> Vec<Heard> {
+    fn event(&self, now: Duration, server: u64, f: &Facts) -> Vec<PeerReport> {
         let state = match f.state.map(|s| s.fact.standing) {
-            Some(Standing::Draining) => Listed::Draining,
-            Some(Standing::Gone) => Listed::Gone,
-            Some(Standing::Serving) | None => Listed::Serving,
+            Some(Standing::Draining) => ServerState::Draining,
+            Some(Standing::Gone) => ServerState::Removed,
+            Some(Standing::Serving) | None => ServerState::Serving,
         };
         let start = |p: Piece<Start>| {
             let before = Duration::from_millis(p.fact.before_ms?.into());
@@ -141,22 +141,24 @@
         };
         let health = f.health.map(|h| h.fact);
         let age = |at: Option<Duration>| at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let link = Heard {
+        let link = PeerReport {
             server,
             state,
-            started: f.start.and_then(start).unwrap_or_default(),
+            started_at: f.start.and_then(start).unwrap_or_default(),
             failed: health.is_some_and(|h| h.failures > 0),
-            lost: health.is_some_and(|h| h.lost),
-            report: Report { link: f.link.map(|p| p.fact.share()), rack: None },
-            age: age(f.link.map(|p| p.seen.at)),
+            may_have_restarted: health.is_some_and(|h| h.lost),
+            load: LoadReport { link_load: f.link.map(|p| p.fact.share()), uplink_load: None },
+            load_age: age(f.link.map(|p| p.seen.at)),
         };
-        let says =
-            link.state != Listed::Serving || !link.started.is_zero() || link.failed || f.link.is_some();
-        let rack = f.rack.map(|p| Heard {
+        let says = link.state != ServerState::Serving
+            || !link.started_at.is_zero()
+            || link.failed
+            || f.link.is_some();
+        let rack = f.rack.map(|p| PeerReport {
             server,
-            report: Report { link: None, rack: Some(p.fact.share()) },
-            age: age(Some(p.seen.at)),
-            ..Heard::default()
+            load: LoadReport { link_load: None, uplink_load: Some(p.fact.share()) },
+            load_age: age(Some(p.seen.at)),
+            ..PeerReport::default()
         });
         says.then_some(link).into_iter().chain(rack).collect()
     }
--- a/crates/session/src/list/feed.rs
+++ b/crates/session/src/list/feed.rs
@@ -42,7 +42,7 @@
 impl ListNews {
     /// The stream broke or could not be had: the list stays as it was.
     pub fn broken() -> Self {
-        ListNews { mode: ListMode::Broken, version: 0, entries: Vec::new() }
+        ListNews { mode: ListMode::Failed, version: 0, entries: Vec::new() }
     }
 }
 
@@ -84,7 +84,7 @@
             return Err(FeedError::Weight);
         }
         let mode = match (message.kind, self.known) {
-            (MessageKind::Whole, _) => ListMode::Whole,
+            (MessageKind::Whole, _) => ListMode::Full,
             (MessageKind::Patch, Some(known)) if known == message.after => ListMode::Patch,
             (MessageKind::Patch, known) => return Err(FeedError::Gap { after: message.after, known }),
         };
--- a/crates/session/src/list/mod.rs
+++ b/crates/session/src/list/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::broken::{hold, Broken};
 use crate::terms::Terms;
-use cloverhollow::{Entry, ListMode, Listed, ServerId};
+use cloverhollow::{ListEntry, ListMode, ServerId, ServerState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 pub struct Applied {
     /// For the decision module.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
     /// Servers that took new work before and do no longer.
     pub stopped: BTreeSet<ServerId>,
 }
@@ -94,7 +94,7 @@
     /// Takes news in.
     pub fn apply(&mut self, now: Duration, news: &ListNews, terms: &Terms) -> Applied {
         let mut out = Applied { entries: Vec::new(), stopped: BTreeSet::new() };
-        if news.mode == ListMode::Broken {
+        if news.mode == ListMode::Failed {
             return out;
         }
         self.version = news.version;
@@ -124,19 +124,19 @@
             if served && e.state != WireState::Serving {
                 out.stopped.insert(e.id);
             }
-            out.entries.push(Entry {
+            out.entries.push(ListEntry {
                 server: e.id,
-                key: e.key.unwrap_or(e.id),
+                shared_key: e.key.unwrap_or(e.id),
                 cell: e.cell,
                 kind: terms.kind(&e.kind),
                 weight: e.weight,
                 state: match e.state {
-                    WireState::Serving => Listed::Serving,
-                    WireState::Draining => Listed::Draining,
-                    WireState::Gone => Listed::Gone,
+                    WireState::Serving => ServerState::Serving,
+                    WireState::Draining => ServerState::Draining,
+                    WireState::Gone => ServerState::Removed,
                 },
-                started,
-                far: e.hall != terms.hall,
+                started_at: started,
+                in_other_zone: e.hall != terms.hall,
             });
         }
         if left_out > 0 {
--- a/crates/session/src/lives.rs
+++ b/crates/session/src/lives.rs
@@ -5,7 +5,7 @@
 use crate::list::{ListNews, WireState};
 use crate::terms::MemoryTerms;
 use crate::types::Reason;
-use cloverhollow::{Heard, ListMode, ServerId};
+use cloverhollow::{ListMode, PeerReport, ServerId};
 use cloverhollow_recovery::ledger::{Bounds, Held};
 use cloverhollow_recovery::{digest, Deed, Paid, Recovered};
 use std::collections::BTreeSet;
@@ -146,11 +146,16 @@
 
     /// Failures of earlier lives, once their server is known. Guards a front that dies and comes back against
     /// taking a server for warm that its last life saw vanish: it may be back, cold (rule 4).
-    pub(crate) fn remembers(&mut self, known: impl Fn(ServerId) -> bool) -> Vec<Heard> {
+    pub(crate) fn remembers(&mut self, known: impl Fn(ServerId) -> bool) -> Vec<PeerReport> {
         let told: Vec<_> = self.untold.iter().copied().filter(|s| known(*s)).collect();
         self.untold.retain(|s| !told.contains(s));
         told.into_iter()
-            .map(|server| Heard { server, failed: true, lost: true, ..Heard::default() })
+            .map(|server| PeerReport {
+                server,
+                failed: true,
+                may_have_restarted: true,
+                ..PeerReport::default()
+            })
             .collect()
     }
 
--- a/crates/session/src/policy.rs
+++ b/crates/session/src/policy.rs
@@ -1,9 +1,9 @@
 //! The decision module as the core sees it.
 
-use cloverhollow::{Action, Brain, Event, ServerId};
+use cloverhollow::{Action, Event, ServerId, SessionPolicy};
 use std::time::Duration;
 
-/// Whoever decides. [`Brain`] in the product; the laboratory puts baselines in its place.
+/// Whoever decides. [`SessionPolicy`] in the product; the laboratory puts baselines in its place.
 pub trait Policy: Send {
     /// Takes all events of one instant and gives what to do, in order.
     fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Action>;
@@ -15,13 +15,13 @@
     }
 }
 
-impl Policy for Brain {
+impl Policy for SessionPolicy {
     fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
-        Brain::step(self, now, events)
+        SessionPolicy::step(self, now, events)
     }
 
     fn send_within(&self, server: ServerId) -> Option<Duration> {
-        Brain::send_within(self, server)
+        SessionPolicy::max_send_delay(self, server)
     }
 }
 
--- a/crates/session/src/types/inputs.rs
+++ b/crates/session/src/types/inputs.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptId, Load, Sid, ViewerId};
 use crate::list::ListNews;
-use cloverhollow::{Call, Note, RequestId, ServerId, TitleId};
+use cloverhollow::{RequestId, ServerId, SessionReport, SessionRequest, TitleId};
 use cloverhollow_hints::{Contradictions, Faults};
 use cloverhollow_knowledge::wire::Message;
 use cloverhollow_recovery::Recovered;
@@ -44,17 +44,17 @@
 
 impl<A> Arrival<A> {
     /// As the decision module is told of it.
-    pub(crate) fn call(&self, request: RequestId, deadline: Duration) -> Call {
-        Call {
-            request,
+    pub(crate) fn call(&self, request: RequestId, deadline: Duration) -> SessionRequest {
+        SessionRequest {
+            id: request,
             title: self.title,
             class: self.class,
             tenant: self.tenant,
-            top: self.top,
+            max_rung: self.top,
             first_cell: self.first_cell,
-            cells: self.cells,
+            cell_count: self.cells,
             deadline,
-            again: self.again,
+            is_repeat: self.again,
         }
     }
 }
@@ -162,7 +162,7 @@
         /// The session.
         sid: Sid,
         /// What it says.
-        note: Note,
+        note: SessionReport,
     },
     /// News of the server list.
     List(ListNews),
@@ -180,7 +180,7 @@
     /// The clock that all fronts share is so far ahead of this one's; before anything else.
     Clock(Duration),
     /// What another front read of a server and told at once.
-    Heard(cloverhollow::Heard),
+    Heard(cloverhollow::PeerReport),
     /// How many fronts there are at the most, itself included, by a count that holds now; `None`: none holds any more.
     /// Where fronts are not counted it never comes, and the settings' number holds.
     Counted {
--- a/crates/session/src/types/mod.rs
+++ b/crates/session/src/types/mod.rs
@@ -6,7 +6,7 @@
 pub use commands::*;
 pub use inputs::*;
 
-use cloverhollow::{Report, RequestId};
+use cloverhollow::{LoadReport, RequestId};
 use std::fmt;
 use std::sync::Arc;
 
@@ -45,8 +45,8 @@
 
 impl Load {
     /// As the decision module takes it with an attempt's end.
-    pub(crate) fn report(self) -> Report {
-        Report { link: self.link, rack: self.rack }
+    pub(crate) fn report(self) -> LoadReport {
+        LoadReport { link_load: self.link, uplink_load: self.rack }
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -177,51 +177,55 @@
     pub fn decisions(&self) -> cloverhollow::Settings {
         let highest = self.ladder.0.len() - 1;
         let class = |c: &Class| cloverhollow::Class {
-            aim: c.aim_ms.get(),
+            target_setup_time: c.aim_ms.get(),
             at_most_once: c.paid,
             worth: c.worth.get(),
-            scale: c.scale.get(),
-            floor: c.floor.as_ref().map_or(0, |f| f.value),
-            top: c.top.as_ref().map_or(highest, |t| t.value),
+            rate_scale: c.scale.get(),
+            min_rung: c.floor.as_ref().map_or(0, |f| f.value),
+            max_rung: c.top.as_ref().map_or(highest, |t| t.value),
             live: c.live,
-            seats: c.seats.count(),
+            max_sessions_per_title: c.seats.count(),
         };
         let r = &self.rules;
         cloverhollow::Settings {
-            fronts: self.instance.fronts.count(),
-            number: self.instance.number.map(|n| n.count()),
+            front_count: self.instance.fronts.count(),
+            front_index: self.instance.number.map(|n| n.count()),
             classes: self.classes.0.iter().map(class).collect(),
             ladder: (self.ladder.0.iter())
-                .map(|r| cloverhollow::Rung { rate: r.rate_kb.get(), worth: r.worth.get() })
+                .map(|r| cloverhollow::Rung { rate_kb_per_s: r.rate_kb.get(), worth: r.worth.get() })
                 .collect(),
-            tenants: self.tenants.iter().map(|t| cloverhollow::Tenant { quota: t.quota.get() }).collect(),
-            over_share_worth: self.limits.over_share_worth.get(),
-            streams_by_kind: self.fleet.kinds.iter().map(|k| k.streams.get() as f64).collect(),
-            link_unit: self.fleet.link_unit_kb.get(),
-            weights_tell_size: self.fleet.weights_tell_size,
-            rack_uplink: self.fleet.rack_uplink_kb.get(),
-            cells: self.fleet.cells.get(),
-            racks: self.fleet.racks.get(),
-            join: self.fleet.join.get(),
-            told_late: self.reports.late_ms.get(),
-            told_every: self.reports.every_ms.get(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|t| cloverhollow::Tenant { quota_per_s: t.quota.get() })
+                .collect(),
+            over_quota_worth: self.limits.over_share_worth.get(),
+            max_streams_by_kind: self.fleet.kinds.iter().map(|k| k.streams.get() as f64).collect(),
+            link_unit_kb_per_s: self.fleet.link_unit_kb.get(),
+            sized_by_weight: self.fleet.weights_tell_size,
+            rack_uplink_kb_per_s: self.fleet.rack_uplink_kb.get(),
+            cell_count: self.fleet.cells.get(),
+            rack_count: self.fleet.racks.get(),
+            join_cost_fraction: self.fleet.join.get(),
+            report_delay: self.reports.late_ms.get(),
+            report_interval: self.reports.every_ms.get(),
             limits: cloverhollow::Limits {
-                attempts: self.limits.attempts.get() as u32,
-                hold_off: self.limits.hold_off_ms.get(),
+                max_attempts: self.limits.attempts.get() as u32,
+                max_retry_after: self.limits.hold_off_ms.get(),
             },
             rules: cloverhollow::Rules {
-                cold: r.cold_ms.get(),
-                cold_from: r.cold_from.get(),
-                fall_multiple: r.fall_multiple.get(),
-                fall_span: r.fall_ms.get(),
-                fall_free: r.fall_slack.get(),
-                fall_root: 0.0,
-                ration: r.ration.as_ref().map(|r| cloverhollow::Ration {
-                    free: r.free.get() as f64,
-                    share: r.share.get(),
-                    span: r.span_ms.get(),
+                warm_up: r.cold_ms.get(),
+                cold_capacity_fraction: r.cold_from.get(),
+                overload_multiple: r.fall_multiple.get(),
+                overload_window: r.fall_ms.get(),
+                overload_margin: r.fall_slack.get(),
+                overload_margin_root: 0.0,
+                retry_budget: r.ration.as_ref().map(|r| cloverhollow::RetryBudget {
+                    base: r.free.get() as f64,
+                    per_request: r.share.get(),
+                    window: r.span_ms.get(),
                 }),
-                ask_within: Duration::ZERO,
+                list_refresh_interval: Duration::ZERO,
             },
             list_pushed: true,
         }
