--- a/crates/net/src/codec.rs
+++ b/crates/net/src/codec.rs
@@ -1,4 +1,4 @@
-//! `Framed` codecs over the codec without I/O.
+//! `tokio_util` codecs around the I/O-free HTTP codec of [`cloverhollow_http`].
 
 use bytes::BytesMut;
 use cloverhollow_http::{
@@ -7,32 +7,32 @@
 };
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Why a connection is of no more use.
+/// Error after which a connection cannot be used any more.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The peer sent what is no message.
+    /// The peer sent bytes that are not a valid HTTP message.
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    /// The socket failed.
+    /// A socket operation failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// The side that reads requests and writes responses.
+/// Codec of a server connection: decodes requests and encodes responses.
 #[derive(Debug, Default)]
-pub struct ServerSide {
+pub struct ServerCodec {
     decoder: RequestDecoder,
     encoder: ResponseEncoder,
 }
 
-impl ServerSide {
-    /// With bounds on what a request may hold.
+impl ServerCodec {
+    /// Creates a codec that rejects requests larger than `limits`.
     pub fn new(limits: Limits) -> Self {
-        ServerSide { decoder: RequestDecoder::new(limits), ..Self::default() }
+        ServerCodec { decoder: RequestDecoder::new(limits), ..Self::default() }
     }
 }
 
-impl Decoder for ServerSide {
+impl Decoder for ServerCodec {
     type Item = RequestFrame;
     type Error = WireError;
 
@@ -49,7 +49,7 @@
     }
 }
 
-impl Encoder<ResponseFrame> for ServerSide {
+impl Encoder<ResponseFrame> for ServerCodec {
     type Error = WireError;
 
     fn encode(&mut self, frame: ResponseFrame, buf: &mut BytesMut) -> Result<(), WireError> {
@@ -58,21 +58,21 @@
     }
 }
 
-/// The side that writes requests and reads responses.
+/// Codec of a client connection: encodes requests and decodes responses.
 #[derive(Debug, Default)]
-pub struct ClientSide {
+pub struct ClientCodec {
     decoder: ResponseDecoder,
     encoder: RequestEncoder,
 }
 
-impl ClientSide {
-    /// With bounds on what a response's head may hold.
+impl ClientCodec {
+    /// Creates a codec that rejects response heads larger than `limits`.
     pub fn new(limits: Limits) -> Self {
-        ClientSide { decoder: ResponseDecoder::new(limits), ..Self::default() }
+        ClientCodec { decoder: ResponseDecoder::new(limits), ..Self::default() }
     }
 }
 
-impl Decoder for ClientSide {
+impl Decoder for ClientCodec {
     type Item = ResponseFrame;
     type Error = WireError;
 
@@ -85,7 +85,7 @@
     }
 }
 
-impl Encoder<RequestFrame> for ClientSide {
+impl Encoder<RequestFrame> for ClientCodec {
     type Error = WireError;
 
     fn encode(&mut self, frame: RequestFrame, buf: &mut BytesMut) -> Result<(), WireError> {
