--- a/crates/node/src/desk/viewers.rs
+++ b/crates/node/src/desk/viewers.rs
@@ -75,7 +75,7 @@
                     tracing::info!(session = %setup.sid, conn = conn.0, "refused: its connection is being closed");
                     self.write(
                         conn,
-                        viewer::refusal_response(&setup.sid, self.site.settings.limits.hold_off),
+                        viewer::refusal_response(&setup.sid, self.site.settings.limits.max_retry_after),
                     );
                 }
             }
@@ -199,7 +199,7 @@
         let stopping = self.stopping(|stop| stop.refuse);
         if full || stopping {
             tracing::info!(session = %sid, conn = conn.0, full, stopping, "refused at once");
-            let refusal = viewer::refusal_response(&sid, self.site.settings.limits.hold_off);
+            let refusal = viewer::refusal_response(&sid, self.site.settings.limits.max_retry_after);
             self.write(conn, refusal);
             return Ok(());
         }
--- a/crates/platform/tests/zeros.rs
+++ b/crates/platform/tests/zeros.rs
@@ -1,7 +1,7 @@
 //! Settings that are zero, absent or shorter than a round trip: each request gets one answer in time, the decision module
 //! never asks for a timer that keeps the front busy, and each attempt has an end.
 
-use cloverhollow::{Brain, ListMode};
+use cloverhollow::{ListMode, SessionPolicy};
 use cloverhollow_platform::settings::{self, SiteSettings};
 use cloverhollow_session::*;
 use serde_json::{json, Value};
@@ -41,7 +41,7 @@
     }
 }
 
-fn core(site: &SiteSettings) -> Core<Brain, (), ()> {
+fn core(site: &SiteSettings) -> Core<SessionPolicy, (), ()> {
     let s = &site.settings;
     let deadline = |i: usize| site.deadlines.get(i).copied().unwrap_or_default();
     let class =
@@ -51,14 +51,14 @@
         rates_kbps: s.classes.iter().map(|_| [].into()).collect(),
         server_kinds: site.names.kinds.clone(),
         zone: site.names.zone.clone(),
-        retry_after: s.limits.hold_off,
+        retry_after: s.limits.max_retry_after,
         answer_margin: MARGIN,
         max_sessions: 100,
         max_waiting: 1,
         idle_timeout: None,
         persistence: None,
     };
-    Core::new(Brain::new(s.clone(), 7), terms, 1)
+    Core::new(SessionPolicy::new(s.clone(), 7), terms, 1)
 }
 
 fn entry(id: u64) -> ServerEntry {
@@ -117,7 +117,7 @@
     let entries = (1..=listed).map(entry).collect();
     let mut inputs = vec![
         Input::ClockOffset(DAY),
-        Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version: 1, entries }),
+        Input::ListUpdate(ListUpdate { mode: ListMode::Full, version: 1, entries }),
     ];
     inputs.extend((0..site.settings.classes.len()).map(|c| arrival(c, c as u64 + 1, patience)));
     let (mut answers, mut open, mut circle) = (BTreeMap::new(), BTreeMap::new(), 0);
--- a/crates/session/src/core/attempts.rs
+++ b/crates/session/src/core/attempts.rs
@@ -5,7 +5,7 @@
 use crate::session_state::Phase;
 use crate::stats::increment;
 use crate::types::*;
-use cloverhollow::{Event, Outcome};
+use cloverhollow::{AttemptOutcome, Event};
 use cloverhollow_recovery::{digest, Deed};
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
@@ -91,31 +91,31 @@
         // Not derived from the reason of the cancellation: the attempt may have timed out before its viewer left.
         let abandoned = session.abandoned;
         let outcome = match (end, cancelled) {
-            (AttemptEnd::NotConnected, _) => Outcome::ConnectFailed,
-            (AttemptEnd::Full, _) => Outcome::Full,
-            (AttemptEnd::Error { .. }, _) => Outcome::Error,
-            (AttemptEnd::Reset, _) => Outcome::Reset,
+            (AttemptEnd::NotConnected, _) => AttemptOutcome::ConnectFailed,
+            (AttemptEnd::Full, _) => AttemptOutcome::Full,
+            (AttemptEnd::Error { .. }, _) => AttemptOutcome::Error,
+            (AttemptEnd::Reset, _) => AttemptOutcome::Reset,
             // The attempt timed out before a connection was made: it never ran, and the server is unreachable.
-            (AttemptEnd::NeverSent, Some(CancelReason::TimedOut)) => Outcome::ConnectFailed,
-            (AttemptEnd::NeverSent | AttemptEnd::NotPersisted, _) => Outcome::Moot,
-            (AttemptEnd::Unanswered, Some(CancelReason::Disconnected)) => Outcome::Cancelled,
-            (AttemptEnd::Unanswered, _) => Outcome::Timeout,
+            (AttemptEnd::NeverSent, Some(CancelReason::TimedOut)) => AttemptOutcome::ConnectFailed,
+            (AttemptEnd::NeverSent | AttemptEnd::NotPersisted, _) => AttemptOutcome::NotSent,
+            (AttemptEnd::Unanswered, Some(CancelReason::Disconnected)) => AttemptOutcome::Cancelled,
+            (AttemptEnd::Unanswered, _) => AttemptOutcome::Timeout,
         };
         match outcome {
-            Outcome::Error => self.knowledge.record_outcome(self.now, server, false, false),
-            Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => {
-                self.knowledge.record_outcome(self.now, server, false, outcome != Outcome::Timeout);
+            AttemptOutcome::Error => self.knowledge.record_outcome(self.now, server, false, false),
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::Timeout => {
+                self.knowledge.record_outcome(self.now, server, false, outcome != AttemptOutcome::Timeout);
                 self.commands.extend(self.history.record_outcome(server, false).map(Command::Persist));
             }
             _ => {}
         }
-        if outcome == Outcome::Moot {
+        if outcome == AttemptOutcome::NotSent {
             increment(&self.stats.cancelled_unsent);
         }
         tracing::info!(session = %session.sid, %attempt, server, ?end, "attempt ended");
         session.phase = Phase::Deciding;
         session.not_persisted |= end == AttemptEnd::NotPersisted;
-        if !outcome.never_ran() {
+        if !outcome.never_executed() {
             session.possibly_executed_end = Some(end);
             if session.paid {
                 self.history.record_executed(&session.sid);
@@ -125,7 +125,8 @@
         } else if session.paid && session.possibly_executed_end.is_none() && end != AttemptEnd::NotPersisted {
             self.commands.push(Command::Persist(Deed::Unrun { sid: digest(&session.sid) }));
         }
-        let ended = Event::Ended(attempt.request, attempt.number, server, outcome, abandoned, load.report());
+        let ended =
+            Event::AttemptEnded(attempt.request, attempt.number, server, outcome, abandoned, load.report());
         self.events.push(ended);
         if abandoned {
             let (waiting, paid_executed) = (
--- a/crates/session/src/core/list_updates.rs
+++ b/crates/session/src/core/list_updates.rs
@@ -14,17 +14,17 @@
         let peer_reports = self.knowledge.record_list_update(self.now, &update);
         self.history.apply_drains(&mut update);
         let applied = self.list.apply(self.now, &update, &self.config);
-        if update.mode == ListMode::Broken {
+        if update.mode == ListMode::Failed {
             tracing::warn!(
                 version = self.list.version(),
                 "server list unavailable; the last known list stays in use"
             );
         }
-        self.events.push(Event::List(update.mode, applied.entries));
-        self.events.extend(peer_reports.into_iter().map(Event::Heard));
+        self.events.push(Event::ListUpdate(update.mode, applied.entries));
+        self.events.extend(peer_reports.into_iter().map(Event::PeerReport));
         let failures = self.history.take_failures(|server| self.list.address(server).is_some());
-        self.events.extend(failures.into_iter().map(Event::Heard));
-        let whole_list = update.mode == ListMode::Whole;
+        self.events.extend(failures.into_iter().map(Event::PeerReport));
+        let whole_list = update.mode == ListMode::Full;
         for (address, held) in self.history.take_releases(whole_list, |server| self.list.address(server)) {
             let (server, sid) = (held.server, SessionId::from(held.sid));
             self.commands.push(Command::Release { address, server, sid });
--- a/crates/session/src/core/viewers.rs
+++ b/crates/session/src/core/viewers.rs
@@ -37,7 +37,7 @@
         let request = self.next_request;
         self.next_request += 1;
         let deadline = self.now + arrival.max_wait.saturating_sub(self.config.answer_margin);
-        self.events.push(Event::Call(arrival.call(request, deadline)));
+        self.events.push(Event::Request(arrival.call(request, deadline)));
         self.log_dropped_hints(&arrival);
         self.by_sid.insert(arrival.sid.clone(), request);
         let waiting = vec![WaitingViewer { viewer: arrival.viewer, is_owner: true, resubmitted: None }];
@@ -154,14 +154,14 @@
         let Some(session) = self.sessions.get_mut(&request).filter(|s| s.waiting.is_empty()) else { return };
         match session.phase {
             Phase::Deciding => {
-                self.events.push(Event::Gone(request));
+                self.events.push(Event::ViewerLeft(request));
                 self.remove_session(request);
             }
             Phase::Attempting { attempt, .. } => {
                 if std::mem::replace(&mut session.abandoned, true) {
                     return; // A viewer that joined the abandoned session has disconnected too.
                 }
-                self.events.push(Event::Gone(request));
+                self.events.push(Event::ViewerLeft(request));
                 self.cancel(attempt, CancelReason::Disconnected);
             }
             Phase::Playing { .. } => {}
