--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -91,7 +91,7 @@
             let missing = self.by_name.extract_if(|_, listing| !listed.contains(&listing.id));
             self.departed.extend(missing.map(|(name, listing)| ((name, listing.process), listing.id)));
         }
-        let mode = if snapshot { ListMode::Whole } else { ListMode::Patch };
+        let mode = if snapshot { ListMode::Full } else { ListMode::Patch };
         Ok(Some(ListUpdate { mode, version: self.cursor, entries }))
     }
 
--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -6,7 +6,7 @@
 //! reading with its age, and nothing depends on its arrival. A datagram that is lost, late, duplicated or corrupt
 //! therefore costs only its bytes, and a false reading has an effect only for as long as a true one.
 
-use cloverhollow::{Heard, Report, ServerId};
+use cloverhollow::{LoadReport, PeerReport, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -49,8 +49,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     digest: u16,
-    link: u8,
-    rack: u8,
+    link_load: u8,
+    uplink_load: u8,
     /// Time at which the server had this load.
     taken: Duration,
     sends: u8,
@@ -107,16 +107,18 @@
         &mut self,
         taken: Duration,
         server: ServerId,
-        link: Option<f64>,
-        rack: Option<f64>,
+        link_load: Option<f64>,
+        uplink_load: Option<f64>,
     ) {
         let previous = self.readings.get(&server).copied();
         let Some(digest) = self.digests.get(&server).copied() else { return };
         // A server reports link and uplink in two lines: the second completes the reading of the first.
         let previous = previous.filter(|r| taken.saturating_sub(r.taken) < SAME_REPORT);
-        let link = link.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.link), |l| encode_load(Some(l)));
-        let rack = rack.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.rack), |l| encode_load(Some(l)));
-        self.readings.insert(server, Reading { digest, link, rack, taken, sends: 0 });
+        let link_load =
+            link_load.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.link_load), |l| encode_load(Some(l)));
+        let uplink_load =
+            uplink_load.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.uplink_load), |l| encode_load(Some(l)));
+        self.readings.insert(server, Reading { digest, link_load, uplink_load, taken, sends: 0 });
     }
 
     /// Returns the index of the recipient and the datagram, if one is due. To be called periodically.
@@ -142,7 +144,7 @@
             reading.sends += 1;
             let age = (now.saturating_sub(reading.taken).as_millis() / AGE_UNIT_MS).min(u8::MAX.into()) as u8;
             datagram.extend_from_slice(&reading.digest.to_le_bytes());
-            datagram.extend_from_slice(&[reading.link, reading.rack, age]);
+            datagram.extend_from_slice(&[reading.link_load, reading.uplink_load, age]);
         }
         let checksum = checksum(&datagram[HEADER_BYTES..]);
         datagram[1..HEADER_BYTES].copy_from_slice(&checksum);
@@ -151,7 +153,7 @@
 
     /// Handles a datagram from another session manager and returns the readings in it that are newer than those known
     /// here. An invalid datagram is ignored.
-    pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) -> Vec<Heard> {
+    pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) -> Vec<PeerReport> {
         let valid = bytes.len() <= MAX_DATAGRAM_BYTES
             && bytes.len() > HEADER_BYTES
             && (bytes.len() - HEADER_BYTES).is_multiple_of(READING_BYTES)
@@ -168,9 +170,12 @@
             if self.readings.get(&server).is_some_and(|r| taken <= r.taken + MIN_AGE_DIFFERENCE) {
                 continue;
             }
-            self.readings.insert(server, Reading { digest, link: entry[2], rack: entry[3], taken, sends: 0 });
-            let report = Report { link: decode_load(entry[2]), rack: decode_load(entry[3]) };
-            newer.push(Heard { server, report, age, ..Heard::default() });
+            self.readings.insert(
+                server,
+                Reading { digest, link_load: entry[2], uplink_load: entry[3], taken, sends: 0 },
+            );
+            let report = LoadReport { link_load: decode_load(entry[2]), uplink_load: decode_load(entry[3]) };
+            newer.push(PeerReport { server, load: report, load_age: age, ..PeerReport::default() });
         }
         newer
     }
--- a/crates/platform/src/server_reports.rs
+++ b/crates/platform/src/server_reports.rs
@@ -3,7 +3,7 @@
 //! Loads are shares of capacity, 1 being full.
 
 use crate::lines::Line;
-use cloverhollow::Note;
+use cloverhollow::SessionReport;
 use cloverhollow_session::Load;
 
 /// Parses the load report in a line; values that are absent or invalid are `None`.
@@ -22,13 +22,13 @@
 }
 
 /// Parses a report about a playing session; `None` if it is of an unknown kind or its value is invalid.
-pub fn session_report(line: &Line) -> Option<Note> {
+pub fn session_report(line: &Line) -> Option<SessionReport> {
     let value: f64 = line.field("value")?.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match line.field("note")? {
-        "kept_up" => Note::Share(value),
-        "tier" => Note::Rung(value as usize),
-        "wire" => Note::Link(value),
-        "trunk" => Note::Rack(value),
+        "kept_up" => SessionReport::DeliveredShare(value),
+        "tier" => SessionReport::Rung(value as usize),
+        "wire" => SessionReport::LinkLoad(value),
+        "trunk" => SessionReport::UplinkLoad(value),
         _ => return None,
     })
 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -4,7 +4,7 @@
 mod figures;
 mod wire;
 
-use cloverhollow::{Class, Limits, Ration, Rules, Rung, Settings, Tenant};
+use cloverhollow::{Class, Limits, RetryBudget, Rules, Rung, Settings, Tenant};
 use cloverhollow_session::{ClassConfig, CoreConfig};
 use figures::Whole;
 use std::sync::Arc;
@@ -27,14 +27,14 @@
     names.iter().position(|n| n == name)
 }
 
-/// Constant part of the tolerance on the number of set-ups at a cold server.
+/// Constant part of the margin on the number of set-ups at a cold server.
 ///
 /// If the settings allow N set-ups in their time span, up to N + 2 sqrt(N) + 2 are attributed to chance. The platform
 /// specifies these figures, but its settings do not contain them. Its servers are overloaded only beyond
 /// N + 3 sqrt(N) + 3; the stricter bound is used.
-const OVERLOAD_TOLERANCE: f64 = 2.0;
-/// Factor of sqrt(N) in the tolerance on the number of set-ups at a cold server; see [`OVERLOAD_TOLERANCE`].
-const OVERLOAD_TOLERANCE_PER_SQRT: f64 = 2.0;
+const OVERLOAD_MARGIN: f64 = 2.0;
+/// Factor of sqrt(N) in the margin on the number of set-ups at a cold server; see [`OVERLOAD_MARGIN`].
+const OVERLOAD_MARGIN_ROOT: f64 = 2.0;
 
 /// Upper bound of the attempts for one request, even if the settings allow more; equals that of the session core.
 const MAX_ATTEMPTS: usize = 16;
@@ -90,54 +90,61 @@
     let connect_timeout = if connect.is_zero() { DEFAULT_CONNECT_TIMEOUT } else { connect };
     let domain = wire.domain;
     let at = |list: &[Whole], i: usize| list.get(i).map(|w| w.0);
-    let max_rung = domain.level_kb.len().saturating_sub(1);
+    let highest_rung = domain.level_kb.len().saturating_sub(1);
     let class = |(i, grade): (usize, &WireGrade)| Class {
         // Without a target the deadline is used: with a target of zero each first attempt would end at once.
-        aim: [grade.aim.0, grade.deadline.0].into_iter().find(|t| !t.is_zero()).unwrap_or(NO_TARGET),
+        target_setup_time: [grade.aim.0, grade.deadline.0]
+            .into_iter()
+            .find(|t| !t.is_zero())
+            .unwrap_or(NO_TARGET),
         at_most_once: grade.effect != IDEMPOTENT,
         worth: grade.importance.0,
-        scale: domain.scale_by_class.get(i).map_or(1.0, |s| s.0),
-        floor: at(&domain.floor_by_class, i).unwrap_or(0),
-        top: at(&domain.class_top, i).unwrap_or(max_rung),
+        rate_scale: domain.scale_by_class.get(i).map_or(1.0, |s| s.0),
+        min_rung: at(&domain.floor_by_class, i).unwrap_or(0),
+        max_rung: at(&domain.class_top, i).unwrap_or(highest_rung),
         live: domain.class_live.get(i).copied().unwrap_or(false),
-        seats: at(&domain.seats, i).unwrap_or(0),
+        max_sessions_per_title: at(&domain.seats, i).unwrap_or(0),
     };
     let worth = |i: usize| domain.ladder_worth.get(i).map_or(0.0, |w| w.0);
     let rates = domain.level_kb.iter().enumerate();
     let rules = wire.invariants;
     let settings = Settings {
-        fronts: wire.balancers.0,
-        number: wire.index.map(|i| i.0),
+        front_count: wire.balancers.0,
+        front_index: wire.index.map(|i| i.0),
         classes: wire.grades.iter().enumerate().map(class).collect(),
-        ladder: rates.map(|(i, rate)| Rung { rate: rate.0, worth: worth(i) }).collect(),
-        tenants: wire.tenants.iter().map(|t| Tenant { quota: t.quota_per_s.0 }).collect(),
-        over_share_worth: wire.over_share_worth.0,
-        streams_by_kind: domain.places_by_kind.iter().map(|p| p.0).collect(),
-        link_unit: domain.link_unit_kb.0,
-        weights_tell_size: wire.weights != "none",
-        rack_uplink: domain.rack_link_kb.0,
-        cells: domain.places.0 as u64,
-        racks: domain.shelves.0 as u64,
-        join: domain.join.map_or(1.0, |j| j.0),
-        told_late: domain.told_late.0,
-        told_every: domain.told_every.0,
+        ladder: rates.map(|(i, rate)| Rung { rate_kb_per_s: rate.0, worth: worth(i) }).collect(),
+        tenants: wire.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s.0 }).collect(),
+        over_quota_worth: wire.over_share_worth.0,
+        max_streams_by_kind: domain.places_by_kind.iter().map(|p| p.0).collect(),
+        link_unit_kb_per_s: domain.link_unit_kb.0,
+        sized_by_weight: wire.weights != "none",
+        rack_uplink_kb_per_s: domain.rack_link_kb.0,
+        cell_count: domain.places.0 as u64,
+        rack_count: domain.shelves.0 as u64,
+        join_cost_fraction: domain.join.map_or(1.0, |j| j.0),
+        report_delay: domain.told_late.0,
+        report_interval: domain.told_every.0,
         limits: Limits {
-            attempts: wire.limits.most_tries.map_or(1, |t| t.0.min(MAX_ATTEMPTS)) as u32,
-            hold_off: if wire.limits.retry_after { wire.limits.max_retry_after.0 } else { Duration::ZERO },
+            max_attempts: wire.limits.most_tries.map_or(1, |t| t.0.min(MAX_ATTEMPTS)) as u32,
+            max_retry_after: if wire.limits.retry_after {
+                wire.limits.max_retry_after.0
+            } else {
+                Duration::ZERO
+            },
         },
         rules: Rules {
-            cold: rules.cold.0,
-            cold_from: rules.cold_from.0,
-            fall_multiple: rules.fall_multiple.0,
-            fall_span: rules.fall.0,
-            fall_free: OVERLOAD_TOLERANCE,
-            fall_root: OVERLOAD_TOLERANCE_PER_SQRT,
-            ration: rules.budget_span.map(|span| Ration {
-                free: rules.budget_free.map_or(0.0, |f| f.0),
-                share: rules.extra_share.map_or(0.0, |s| s.0),
-                span: span.0,
+            warm_up: rules.cold.0,
+            cold_capacity_fraction: rules.cold_from.0,
+            overload_multiple: rules.fall_multiple.0,
+            overload_window: rules.fall.0,
+            overload_margin: OVERLOAD_MARGIN,
+            overload_margin_root: OVERLOAD_MARGIN_ROOT,
+            retry_budget: rules.budget_span.map(|span| RetryBudget {
+                base: rules.budget_free.map_or(0.0, |f| f.0),
+                per_request: rules.extra_share.map_or(0.0, |s| s.0),
+                window: span.0,
             }),
-            ask_within: rules.ask_within.0,
+            list_refresh_interval: rules.ask_within.0,
         },
         list_pushed: wire.discovery != "on_request",
     };
@@ -179,7 +186,7 @@
             rates_kbps: s.classes.iter().map(|_| Arc::from([])).collect(),
             server_kinds: self.names.kinds.clone(),
             zone: self.names.zone.clone(),
-            retry_after: s.limits.hold_off,
+            retry_after: s.limits.max_retry_after,
             answer_margin: RESPONSE_MARGIN,
             max_sessions: MAX_SESSIONS,
             max_waiting: 1,
--- a/crates/platform/tests/channel.rs
+++ b/crates/platform/tests/channel.rs
@@ -26,7 +26,7 @@
     let first =
         apply(&mut directory, event(41, true, &[("a", "in_service", 0), ("b", "in_service", NOW - 500)]));
     let first = first.unwrap().unwrap();
-    assert_eq!((first.mode, first.version, directory.cursor()), (ListMode::Whole, 41, 41));
+    assert_eq!((first.mode, first.version, directory.cursor()), (ListMode::Full, 41, 41));
     assert_eq!((first.entries[0].started_ms_ago, first.entries[1].started_ms_ago), (None, Some(500)));
     let (a, b) = (directory.server_id("a").unwrap(), directory.server_id("b").unwrap());
     assert_ne!(a, b);
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,7 +1,7 @@
 //! Codecs of RTSP messages and JSON lines: complete, fragmented, malformed and oversized input.
 
 use bytes::{Bytes, BytesMut};
-use cloverhollow::Note;
+use cloverhollow::SessionReport;
 use cloverhollow_platform::{lines, rtsp, server_reports};
 use proptest::prelude::*;
 
@@ -130,10 +130,10 @@
     }
     let report =
         |name: &str, value: &str| server_reports::session_report(&line("note", name).with("value", value));
-    assert!(matches!(report("kept_up", "0.5"), Some(Note::Share(s)) if s == 0.5));
-    assert!(matches!(report("tier", "2"), Some(Note::Rung(2))));
-    assert!(matches!(report("wire", "1.2"), Some(Note::Link(x)) if x == 1.2));
-    assert!(matches!(report("trunk", "0.4"), Some(Note::Rack(x)) if x == 0.4));
+    assert!(matches!(report("kept_up", "0.5"), Some(SessionReport::DeliveredShare(s)) if s == 0.5));
+    assert!(matches!(report("tier", "2"), Some(SessionReport::Rung(2))));
+    assert!(matches!(report("wire", "1.2"), Some(SessionReport::LinkLoad(x)) if x == 1.2));
+    assert!(matches!(report("trunk", "0.4"), Some(SessionReport::UplinkLoad(x)) if x == 0.4));
     for (name, value) in [("wire", "x"), ("wire", "-1"), ("wire", "inf"), ("other", "1"), ("tier", "")] {
         assert!(report(name, value).is_none(), "{name} {value}");
     }
--- a/crates/platform/tests/gossip.rs
+++ b/crates/platform/tests/gossip.rs
@@ -37,12 +37,16 @@
     let received = b.handle_datagram(at + ms(30), &bytes);
     assert_eq!(received.len(), 1);
     assert_eq!(
-        (received[0].server, received[0].report.link, received[0].report.rack),
+        (received[0].server, received[0].load.link_load, received[0].load.uplink_load),
         (1007, Some(0.42), Some(1.3))
     );
     let true_age = at - START - ms(5);
-    assert!(received[0].age <= true_age && received[0].age + ms(40) > true_age, "{:?}", received[0].age);
-    assert_eq!(received[0].started, Duration::ZERO, "gossip carries no state and no start time");
+    assert!(
+        received[0].load_age <= true_age && received[0].load_age + ms(40) > true_age,
+        "{:?}",
+        received[0].load_age
+    );
+    assert_eq!(received[0].started_at, Duration::ZERO, "gossip carries no state and no start time");
     assert!(b.handle_datagram(at + ms(60), &bytes).is_empty(), "a duplicate is ignored");
 }
 
@@ -53,7 +57,7 @@
     let (at, bytes) = next_datagram(&mut a, START).unwrap();
     assert_eq!(b.handle_datagram(at, &bytes).len(), 1);
     let (at, forwarded) = next_datagram(&mut b, at).unwrap();
-    assert_eq!(c.handle_datagram(at, &forwarded)[0].report.link, Some(0.5));
+    assert_eq!(c.handle_datagram(at, &forwarded)[0].load.link_load, Some(0.5));
     let mut d = gossip(40, 0, 4);
     d.record_reading(at, 7, Some(0.9), None);
     assert!(d.handle_datagram(at + ms(10), &forwarded).is_empty(), "its own reading is newer");
--- a/crates/platform/tests/random_deployment/checks.rs
+++ b/crates/platform/tests/random_deployment/checks.rs
@@ -22,10 +22,10 @@
                     s.sid
                 );
                 assert!(
-                    s.attempt.number < settings.limits.attempts,
+                    s.attempt.number < settings.limits.max_attempts,
                     "attempt {}, maximum {}",
                     s.attempt,
-                    settings.limits.attempts
+                    settings.limits.max_attempts
                 );
                 assert_eq!(
                     self.states.get(&s.server),
@@ -33,21 +33,21 @@
                     "attempt at server {}, which is not in service",
                     s.server
                 );
-                let max_rung = class.top.min(session.max_rung).min(settings.ladder.len() - 1);
+                let max_rung = class.max_rung.min(session.max_rung).min(settings.ladder.len() - 1);
                 assert!(
-                    (class.floor..=max_rung).contains(&s.rung),
+                    (class.min_rung..=max_rung).contains(&s.rung),
                     "rung {} is outside {}..={max_rung}",
                     s.rung,
-                    class.floor
+                    class.min_rung
                 );
                 let same_title = |o: &&SessionState| {
                     (o.title, o.class) == (session.title, session.class) && (o.playing || o.attempt.is_some())
                 };
                 let taken = self.sessions.values().filter(same_title).count();
                 assert!(
-                    class.seats == 0 || taken < class.seats,
-                    "{taken} of {} seats are taken",
-                    class.seats
+                    class.max_sessions_per_title == 0 || taken < class.max_sessions_per_title,
+                    "{taken} sessions of the title, maximum {}",
+                    class.max_sessions_per_title
                 );
                 self.sessions.get_mut(&s.sid).unwrap().attempt = Some((s.attempt, self.rng.bool()));
             }
@@ -83,9 +83,9 @@
             Command::RungChanged { sid, rung, .. } => {
                 let session = &self.sessions[&sid];
                 let class = &settings.classes[session.class];
-                let max_rung = class.top.min(session.max_rung).min(settings.ladder.len() - 1);
+                let max_rung = class.max_rung.min(session.max_rung).min(settings.ladder.len() - 1);
                 assert!(
-                    session.adopted || (class.floor..=max_rung).contains(&rung),
+                    session.adopted || (class.min_rung..=max_rung).contains(&rung),
                     "rung {rung} is out of range"
                 );
             }
--- a/crates/platform/tests/random_deployment/front.rs
+++ b/crates/platform/tests/random_deployment/front.rs
@@ -1,7 +1,8 @@
 //! A simulated front of a random deployment: random requests, list events, responses and time-outs.
 
 use super::session_state::SessionState;
-use cloverhollow::{Brain, Note};
+use cloverhollow::SessionPolicy;
+use cloverhollow::SessionReport::{DeliveredShare, LinkLoad, UplinkLoad};
 use cloverhollow_hints::{Contradictions, Faults};
 use cloverhollow_platform::channel::ServerDirectory;
 use cloverhollow_platform::settings::{self, SiteSettings};
@@ -20,7 +21,7 @@
 
 pub struct Front {
     pub(super) site: SiteSettings,
-    core: Core<Brain, u32, ()>,
+    core: Core<SessionPolicy, u32, ()>,
     directory: ServerDirectory,
     pub(super) rng: Rng,
     now: Duration,
@@ -39,7 +40,7 @@
     pub fn new(seed: u64) -> Front {
         let json = super::settings(seed);
         let site = settings::read(json.clone()).unwrap_or_else(|e| panic!("{e} in {json}"));
-        let mut core = Core::new(Brain::new(site.settings.clone(), seed), site.core_config(), seed);
+        let mut core = Core::new(SessionPolicy::new(site.settings.clone(), seed), site.core_config(), seed);
         let transcript = Arc::new(Mutex::new(Vec::new()));
         let recorder = transcript.clone();
         core.set_step_observer(Box::new(move |now, events, actions| {
@@ -239,7 +240,7 @@
 
     fn session_report(&mut self) {
         let x = self.rng.f64() * 1.4;
-        let report = *self.rng.choice(&[Note::Share(x.min(1.0)), Note::Link(x), Note::Rack(x)]).unwrap();
+        let report = *self.rng.choice(&[DeliveredShare(x.min(1.0)), LinkLoad(x), UplinkLoad(x)]).unwrap();
         if let Some(sid) = self.random_session(|h| h.playing) {
             self.inputs.push(Input::SessionReport { sid, report });
         }
--- a/crates/platform/tests/zero_settings.rs
+++ b/crates/platform/tests/zero_settings.rs
@@ -1,7 +1,7 @@
 //! Settings that are zero, absent or shorter than a round trip. Each request must get one response in time, timers must not
 //! make the front busy-loop, and each attempt must end.
 
-use cloverhollow::{Brain, ListMode};
+use cloverhollow::{ListMode, SessionPolicy};
 use cloverhollow_platform::settings::{self, SiteSettings};
 use cloverhollow_session::*;
 use serde_json::{json, Value};
@@ -45,7 +45,7 @@
     }
 }
 
-fn core(site: &SiteSettings) -> Core<Brain, (), ()> {
+fn core(site: &SiteSettings) -> Core<SessionPolicy, (), ()> {
     let s = &site.settings;
     let deadline = |i: usize| site.deadlines.get(i).copied().unwrap_or_default();
     let class =
@@ -55,14 +55,14 @@
         rates_kbps: s.classes.iter().map(|_| [].into()).collect(),
         server_kinds: site.names.kinds.clone(),
         zone: site.names.zone.clone(),
-        retry_after: s.limits.hold_off,
+        retry_after: s.limits.max_retry_after,
         answer_margin: MARGIN,
         max_sessions: 100,
         max_waiting: 1,
         idle_timeout: None,
         persistence: None,
     };
-    Core::new(Brain::new(s.clone(), 7), config, 1)
+    Core::new(SessionPolicy::new(s.clone(), 7), config, 1)
 }
 
 fn entry(id: u64) -> ServerEntry {
@@ -121,7 +121,7 @@
     let entries = (1..=listed).map(entry).collect();
     let mut inputs = vec![
         Input::ClockOffset(DAY),
-        Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version: 1, entries }),
+        Input::ListUpdate(ListUpdate { mode: ListMode::Full, version: 1, entries }),
     ];
     inputs.extend((0..site.settings.classes.len()).map(|c| arrival(c, c as u64 + 1, max_wait)));
     let (mut answers, mut open, mut steps_at_once) = (BTreeMap::new(), BTreeMap::new(), 0);
--- a/crates/session/src/core/actions.rs
+++ b/crates/session/src/core/actions.rs
@@ -6,7 +6,7 @@
 use crate::stats::increment;
 use crate::timers::Timer;
 use crate::types::*;
-use cloverhollow::{Action, Event, Outcome, Report, RequestId, ServerId};
+use cloverhollow::{Action, AttemptOutcome, Event, LoadReport, RequestId, ServerId};
 use cloverhollow_recovery::Deed;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     pub(super) fn act(&mut self, action: Action) {
         match action {
             Action::Send(request, server, timeout) => self.send(request, server, timeout),
-            Action::Rung(request, rung) => self.set_rung(request, rung),
+            Action::SetRung(request, rung) => self.set_rung(request, rung),
             Action::Refuse(request, retry_after) => {
                 let not_persisted = self.sessions.get(&request).is_some_and(|s| s.not_persisted);
                 let reason = match self.list.serving_count() {
@@ -39,7 +39,7 @@
                 };
                 self.reject(request, || Answer::Failed { timed_out, reason });
             }
-            Action::Timer(after, token) => self.timers.arm(self.now + after, Timer::Policy(token)),
+            Action::SetTimer(after, token) => self.timers.arm(self.now + after, Timer::Policy(token)),
             // The caller keeps its subscription by itself: the settings say that the list is pushed.
             Action::Subscribe => {}
             Action::Log(text) => tracing::info!("{text}"),
@@ -55,8 +55,15 @@
         session.attempts += 1;
         let attempt = AttemptId { request, number };
         let Some(address) = self.list.address(server) else {
-            let report = Report::default();
-            self.events.push(Event::Ended(request, number, server, Outcome::Moot, false, report));
+            let report = LoadReport::default();
+            self.events.push(Event::AttemptEnded(
+                request,
+                number,
+                server,
+                AttemptOutcome::NotSent,
+                false,
+                report,
+            ));
             return;
         };
         session.phase = Phase::Attempting { attempt, server, address, started_at: self.now, cancelled: None };
--- a/crates/session/src/knowledge.rs
+++ b/crates/session/src/knowledge.rs
@@ -6,7 +6,7 @@
 use crate::list::{ListUpdate, WireState};
 use crate::types::{Load, PeerStatus};
 use arc_swap::ArcSwap;
-use cloverhollow::{Heard, ListMode, Listed, Report};
+use cloverhollow::{ListMode, LoadReport, PeerReport, ServerState};
 use cloverhollow_knowledge::facts::{Facts, Observer, Piece, Standing, Start, State};
 use cloverhollow_knowledge::wire::Message;
 use cloverhollow_knowledge::{Book, BookView, MergeError};
@@ -98,8 +98,8 @@
     /// for the policy to apply after the update.
     ///
     /// The update has just overwritten those reports; this front's discovery stream may be behind its peers'.
-    pub(crate) fn record_list_update(&mut self, now: Duration, update: &ListUpdate) -> Vec<Heard> {
-        if update.mode == ListMode::Broken || !self.enabled {
+    pub(crate) fn record_list_update(&mut self, now: Duration, update: &ListUpdate) -> Vec<PeerReport> {
+        if update.mode == ListMode::Failed || !self.enabled {
             return Vec::new();
         }
         for e in &update.entries {
@@ -127,7 +127,7 @@
         requested_at: Duration,
         nonce: u64,
         message: &Message,
-    ) -> Result<(Vec<Heard>, PeerStatus), MergeError> {
+    ) -> Result<(Vec<PeerReport>, PeerStatus), MergeError> {
         if now >= self.last_expiry + EXPIRY_INTERVAL {
             self.last_expiry = now;
             self.store.forget_old(now);
@@ -142,7 +142,7 @@
     ///
     /// The time since then is unknown because clocks may jump, so only versioned observations (states and starts)
     /// are used, never load or health.
-    pub(crate) fn restore(&mut self, now: Duration, message: &Message) -> Vec<Heard> {
+    pub(crate) fn restore(&mut self, now: Duration, message: &Message) -> Vec<PeerReport> {
         let versioned = message.without_ages();
         let merged = self.store.merge(now, now, versioned.nonce, &versioned);
         let learned = merged.map(|m| m.learned).unwrap_or_default();
@@ -151,11 +151,11 @@
 
     /// Translates observations of a server to the policy's form: one report, and a second one for the load of the
     /// rack's uplink, which has an age of its own.
-    fn peer_reports(&self, now: Duration, server: u64, facts: &Facts) -> Vec<Heard> {
+    fn peer_reports(&self, now: Duration, server: u64, facts: &Facts) -> Vec<PeerReport> {
         let state = match facts.state.map(|s| s.fact.standing) {
-            Some(Standing::Draining) => Listed::Draining,
-            Some(Standing::Gone) => Listed::Gone,
-            Some(Standing::Serving) | None => Listed::Serving,
+            Some(Standing::Draining) => ServerState::Draining,
+            Some(Standing::Gone) => ServerState::Removed,
+            Some(Standing::Serving) | None => ServerState::Serving,
         };
         let started_at = |p: Piece<Start>| {
             let age = Duration::from_millis(p.fact.before_ms?.into());
@@ -164,22 +164,24 @@
         let health = facts.health.map(|h| h.fact);
         let age_since =
             |observed: Option<Duration>| observed.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let link = Heard {
+        let link = PeerReport {
             server,
             state,
-            started: facts.start.and_then(started_at).unwrap_or_default(),
+            started_at: facts.start.and_then(started_at).unwrap_or_default(),
             failed: health.is_some_and(|h| h.failures > 0),
-            lost: health.is_some_and(|h| h.lost),
-            report: Report { link: facts.link.map(|p| p.fact.share()), rack: None },
-            age: age_since(facts.link.map(|p| p.seen.at)),
+            may_have_restarted: health.is_some_and(|h| h.lost),
+            load: LoadReport { link_load: facts.link.map(|p| p.fact.share()), uplink_load: None },
+            load_age: age_since(facts.link.map(|p| p.seen.at)),
         };
-        let has_content =
-            link.state != Listed::Serving || !link.started.is_zero() || link.failed || facts.link.is_some();
-        let rack = facts.rack.map(|p| Heard {
+        let has_content = link.state != ServerState::Serving
+            || !link.started_at.is_zero()
+            || link.failed
+            || facts.link.is_some();
+        let rack = facts.rack.map(|p| PeerReport {
             server,
-            report: Report { link: None, rack: Some(p.fact.share()) },
-            age: age_since(Some(p.seen.at)),
-            ..Heard::default()
+            load: LoadReport { link_load: None, uplink_load: Some(p.fact.share()) },
+            load_age: age_since(Some(p.seen.at)),
+            ..PeerReport::default()
         });
         has_content.then_some(link).into_iter().chain(rack).collect()
     }
--- a/crates/session/src/list/feed.rs
+++ b/crates/session/src/list/feed.rs
@@ -42,7 +42,7 @@
 impl ListUpdate {
     /// Update that reports an unavailable or broken stream. The list stays as it was.
     pub fn broken() -> Self {
-        ListUpdate { mode: ListMode::Broken, version: 0, entries: Vec::new() }
+        ListUpdate { mode: ListMode::Failed, version: 0, entries: Vec::new() }
     }
 }
 
@@ -100,7 +100,7 @@
             return Err(FeedError::InvalidWeight);
         }
         let mode = match (message.kind, self.last_version) {
-            (MessageKind::Whole, _) => ListMode::Whole,
+            (MessageKind::Whole, _) => ListMode::Full,
             (MessageKind::Patch, Some(known)) if known == message.after => ListMode::Patch,
             (MessageKind::Patch, known) => return Err(FeedError::Gap { after: message.after, known }),
         };
--- a/crates/session/tests/load/shell.rs
+++ b/crates/session/tests/load/shell.rs
@@ -3,7 +3,7 @@
 use super::wild::Wild;
 use super::{Happens, Known, DRAINED};
 use crate::common::*;
-use cloverhollow::{Brain, ListMode, Note};
+use cloverhollow::{ListMode, SessionPolicy, SessionReport};
 use cloverhollow_knowledge::Level;
 use cloverhollow_recovery::{frame, recover, Boot, Bounds, Deed, Found, Recovered, Stamp};
 use cloverhollow_session::*;
@@ -69,8 +69,11 @@
 impl Shell {
     pub fn new(known: &Known) -> Shell {
         let settings = settings(&SETTINGS.replace("most: 50", &format!("most: {MOST}")));
-        let policy: Box<dyn Policy> =
-            if known.brain { Box::new(Brain::new(settings.decisions(), 7)) } else { Box::new(Wild::new(7)) };
+        let policy: Box<dyn Policy> = if known.brain {
+            Box::new(SessionPolicy::new(settings.decisions(), 7))
+        } else {
+            Box::new(Wild::new(7))
+        };
         let mut shell = Shell {
             core: Core::new(policy, settings.clone(), 1),
             settings,
@@ -162,8 +165,10 @@
                 self.boxed.extend(input);
             }
             Happens::Notes(n, rung) => {
-                let note =
-                    |r: Arc<Route>| Input::SessionReport { sid: r.sid.clone(), report: Note::Rung(rung) };
+                let note = |r: Arc<Route>| Input::SessionReport {
+                    sid: r.sid.clone(),
+                    report: SessionReport::Rung(rung),
+                };
                 let input = self.route(n).map(note);
                 self.boxed.extend(input);
             }
@@ -190,7 +195,7 @@
                 let entries = vec![server(id, state)];
                 self.peer.step(
                     self.now,
-                    [Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version, entries })],
+                    [Input::ListUpdate(ListUpdate { mode: ListMode::Full, version, entries })],
                 );
                 let message = self.peer.knowledge_snapshot().latest().message(
                     self.now,
