--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,7 +1,7 @@
 //! A front as a process: starts, says where it listens, runs until it is told to stop.
 
 use cloverhollow::SessionPolicy;
-use cloverhollow_front::{Front, Leave, StartError};
+use cloverhollow_front::{Front, LeaveOutcome, StartError};
 use cloverhollow_record::Recorder;
 use cloverhollow_session::{Policy, StepObserver};
 use cloverhollow_settings::{FrontSettings, SettingsError};
@@ -36,7 +36,7 @@
     /// The process's exit code: 2 for settings, 1 for the rest.
     pub fn code(&self) -> u8 {
         match self {
-            ServeError::Settings(_) | ServeError::Start(StartError::Key { .. }) => 2,
+            ServeError::Settings(_) | ServeError::Start(StartError::InvalidKey { .. }) => 2,
             _ => 1,
         }
     }
@@ -90,8 +90,8 @@
     let mut term = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
     let mut int = signal(SignalKind::interrupt()).map_err(ServeError::Signal)?;
     let front = Front::start(settings.clone(), policy(&settings, seed), tap).await?;
-    let side = front.side.map(|a| a.to_string());
-    let members = front.members.map(|a| a.to_string());
+    let side = front.side_address.map(|a| a.to_string());
+    let members = front.members_address.map(|a| a.to_string());
     let ready = serde_json::json!({ "address": front.address.to_string(), "side": side, "members": members });
     println!("{ready}");
     until_it_may_stop(&front, &settings, &mut term, &mut int).await;
@@ -110,25 +110,25 @@
             tokio::select! {
                 _ = term.recv() => told = true,
                 _ = int.recv() => told = true,
-                () = front.asked_out() => {}
+                () = front.wait_for_leave_request() => {}
             }
         }
         let left = tokio::select! {
-            left = front.leave_when_allowed(wait) => Some(left),
+            left = front.wait_for_leave_permit(wait) => Some(left),
             _ = term.recv() => None,
             _ = int.recv() => None,
         };
         match left {
-            Some(Leave::Off | Leave::Permit) => return,
-            Some(Leave::Without) if told => {
-                let (reason, waited_ms) = (front.why_not(), wait.as_millis() as u64);
+            Some(LeaveOutcome::NotRequired | LeaveOutcome::Granted) => return,
+            Some(LeaveOutcome::TimedOut) if told => {
+                let (reason, waited_ms) = (front.permit_denial_reason(), wait.as_millis() as u64);
                 tracing::warn!(member = name, reason, waited_ms, "goes out without a permit");
                 return;
             }
-            Some(Leave::Without) => {
-                let reason = front.why_not();
+            Some(LeaveOutcome::TimedOut) => {
+                let reason = front.permit_denial_reason();
                 tracing::warn!(member = name, reason, "was asked to go out and stays: no permit in time");
-                front.stay();
+                front.cancel_leave();
             }
             None if told => {
                 tracing::warn!(member = name, reason = "told a second time", "goes out without a permit");
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -27,8 +27,8 @@
 
 use cloverhollow_net::unix_ms;
 pub use cloverhollow_net::Clock;
-pub use lives::deeds_file;
-pub use out::Leave;
+pub use lives::log_file_path;
+pub use out::LeaveOutcome;
 
 use cloverhollow_recovery::Trust;
 use cloverhollow_session::{Core, Input, Policy, Routes, SnapshotCell, Stats, StepObserver};
@@ -82,16 +82,16 @@
         source: std::io::Error,
     },
     /// A key of the members' datagrams can't be used.
-    #[error("members.keys {file}: {what}")]
-    Key {
+    #[error("members.keys {file}: {reason}")]
+    InvalidKey {
         /// The file.
         file: String,
         /// Why.
-        what: String,
+        reason: String,
     },
     /// Another process of this front runs: two lives at once would each spend the whole of every budget.
     #[error("keep.file: {0}")]
-    Twice(#[from] cloverhollow_store::PaperError),
+    AlreadyRunning(#[from] cloverhollow_store::PaperError),
 }
 
 /// A front that runs.
@@ -99,9 +99,9 @@
     /// Where viewers call.
     pub address: SocketAddr,
     /// Where operators ask, if anywhere.
-    pub side: Option<SocketAddr>,
+    pub side_address: Option<SocketAddr>,
     /// Where the other fronts' datagrams come in, if anywhere.
-    pub members: Option<SocketAddr>,
+    pub members_address: Option<SocketAddr>,
     stop: CancellationToken,
     tasks: TaskTracker,
     journal: journal::Journal,
@@ -182,7 +182,7 @@
             state.set_level(cloverhollow_knowledge::Level::Warming, cloverhollow_knowledge::Why::Asking);
         }
         tasks.spawn(until(stop.clone(), peers::run(shared.clone(), state.clone(), side_address, outcomes)));
-        let members = fleet.as_ref().and_then(|(_, socket)| socket.local_addr().ok());
+        let members_address = fleet.as_ref().and_then(|(_, socket)| socket.local_addr().ok());
         let of_fleet = fleet.as_ref().map(|f| f.0.clone());
         if let Some((fleet, socket)) = fleet {
             // It ends by itself too: a write that is under way is waited for.
@@ -207,7 +207,7 @@
         }));
         let name = settings.instance.name.as_str().to_string();
         tracing::info!(%address, name, "front started");
-        Ok(Front { address, side: side_address, members, stop, tasks, journal, fleet: of_fleet, name })
+        Ok(Front { address, side_address, members_address, stop, tasks, journal, fleet: of_fleet, name })
     }
 
     /// Stops at once: connections are closed, sessions forgotten, the last list is kept.
--- a/crates/front/src/lives.rs
+++ b/crates/front/src/lives.rs
@@ -23,7 +23,7 @@
 }
 
 /// The file of deeds, beside the store.
-pub fn deeds_file(keep: &Path) -> PathBuf {
+pub fn log_file_path(keep: &Path) -> PathBuf {
     beside(keep, ".deeds")
 }
 
@@ -34,7 +34,7 @@
 /// Another process of this front runs on: two lives at once would each spend the whole of every budget.
 /// Other errors are none: the front goes on without a paper, and takes nothing down.
 pub(crate) async fn open(settings: &FrontSettings) -> Result<Option<cloverhollow_store::Found>, PaperError> {
-    let Some(path) = settings.keep.file.as_deref().map(deeds_file) else { return Ok(None) };
+    let Some(path) = settings.keep.file.as_deref().map(log_file_path) else { return Ok(None) };
     let opened = spawn_blocking(move || {
         let begun = Instant::now();
         loop {
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -63,7 +63,7 @@
         let mut keys = Vec::new();
         for k in &m.keys {
             let secret = keys::secret(&k.file)
-                .map_err(|what| StartError::Key { file: k.file.display().to_string(), what })?;
+                .map_err(|reason| StartError::InvalidKey { file: k.file.display().to_string(), reason })?;
             keys.push(Key { id: k.id.get() as u32, secret });
         }
         let me = Who {
--- a/crates/front/src/out/leave.rs
+++ b/crates/front/src/out/leave.rs
@@ -26,19 +26,21 @@
 
 /// How the wait for a permit ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leave {
+pub enum LeaveOutcome {
     /// Permits are off: it may stop as it likes.
-    Off,
+    NotRequired,
     /// It holds one: it is to stop at once.
-    Permit,
+    Granted,
     /// It got none in time.
-    Without,
+    TimedOut,
 }
 
 impl Front {
     /// Goes on serving, and asks for a permit to be out until it has one or `wait` is over.
-    pub async fn leave_when_allowed(&self, wait: Duration) -> Leave {
-        let Some(fleet) = self.fleet.as_ref().filter(|f| f.out().is_some()) else { return Leave::Off };
+    pub async fn wait_for_leave_permit(&self, wait: Duration) -> LeaveOutcome {
+        let Some(fleet) = self.fleet.as_ref().filter(|f| f.out().is_some()) else {
+            return LeaveOutcome::NotRequired;
+        };
         let name = &self.name;
         let subject = world::digits(world::subject(name));
         let until = Instant::now() + wait;
@@ -59,7 +61,7 @@
                     reason = "allowed",
                     "goes out under its permit"
                 );
-                return Leave::Permit;
+                return LeaveOutcome::Granted;
             }
             if Instant::now() >= until {
                 tracing::info!(
@@ -68,26 +70,26 @@
                     reason = fleet.why_not(),
                     "no permit in time"
                 );
-                return Leave::Without;
+                return LeaveOutcome::TimedOut;
             }
             sleep(LOOK).await;
         }
     }
 
     /// It does not go out after all: a permit that it has is given back.
-    pub fn stay(&self) {
+    pub fn cancel_leave(&self) {
         if let Some(fleet) = &self.fleet {
             fleet.want(false);
         }
     }
 
     /// Why there was no permit, in words.
-    pub fn why_not(&self) -> String {
+    pub fn permit_denial_reason(&self) -> String {
         self.fleet.as_ref().map(|f| f.why_not()).unwrap_or_default()
     }
 
     /// Waits until it is asked to go out, at the side address.
-    pub async fn asked_out(&self) {
+    pub async fn wait_for_leave_request(&self) {
         match &self.fleet {
             Some(fleet) => fleet.gate.asked.notified().await,
             None => std::future::pending().await,
--- a/crates/front/src/out/mod.rs
+++ b/crates/front/src/out/mod.rs
@@ -10,7 +10,7 @@
 mod turn;
 mod world;
 
-pub use leave::Leave;
+pub use leave::LeaveOutcome;
 pub(crate) use leave::{comes_back, keep, Gate};
 
 use cloverhollow_members::View;
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -179,7 +179,7 @@
 
 /// Waits until the front has a list.
 pub async fn ready(s: &Setup) {
-    let side = s.front.side.unwrap();
+    let side = s.front.side_address.unwrap();
     let until = async {
         while !raw(side, "GET /health HTTP/1.1\r\nhost: x\r\n\r\n").await.starts_with("HTTP/1.1 200") {
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -74,7 +74,7 @@
 /// A front over two servers that asks those peers, once its warm start has ended; and its health.
 async fn started(servers: [&Peer; 2], peers: &[SocketAddr]) -> (Setup, String) {
     let s = over(&servers, &asking(peers)).await;
-    let side = s.front.side.unwrap();
+    let side = s.front.side_address.unwrap();
     let ended = async {
         loop {
             let health = raw(side, "GET /health HTTP/1.1\r\nhost: x\r\n\r\n").await;
@@ -195,12 +195,12 @@
 async fn real_fronts_feed_each_other_and_cold_ones_do_not_count_as_warm() {
     let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
     let cold = over(&[&first, &second], "instance: {name: front-8, seed: 3}").await;
-    let (s, health) = started([&first, &second], &[cold.front.side.unwrap()]).await;
+    let (s, health) = started([&first, &second], &[cold.front.side_address.unwrap()]).await;
     assert!(health.contains("\"level\":\"cold\"") && health.contains("cold too"), "{health}");
     assert!(health.contains("\"knows_servers\":2"), "what it said is known all the same: {health}");
     let got = raw(s.address, &get("/club/clip/t1/0", &sid("x"))).await;
     assert!(got.starts_with("HTTP/1.1 200"), "{got}");
-    let metrics = raw(cold.front.side.unwrap(), "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
+    let metrics = raw(cold.front.side_address.unwrap(), "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert!(metrics.contains("cloverhollow_peer_fed_total 1"), "{metrics}");
     // The door: what it answers to what is no question.
     for (path, want) in [
@@ -208,7 +208,8 @@
         ("/v1/knowledge?nonce=1&format=9", "406"),
         ("/v1/knowledge?nonce=1&format=1", "200"),
     ] {
-        let got = raw(cold.front.side.unwrap(), &format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n")).await;
+        let got =
+            raw(cold.front.side_address.unwrap(), &format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n")).await;
         assert!(got.starts_with(&format!("HTTP/1.1 {want}")), "{path}: {got}");
     }
 }
--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -8,7 +8,7 @@
 use crate::script::Script;
 use crate::standin::{config as config_of, front_host, Discovery};
 use crate::wires::Wires;
-use cloverhollow_front::deeds_file;
+use cloverhollow_front::log_file_path;
 pub(crate) use planned::{MEMORY_MB, SOCKETS};
 use rustix::process::{kill_process, Pid, Signal};
 use serde::Serialize;
@@ -61,7 +61,7 @@
 
 /// Removes all that a front keeps: its next life is its first.
 pub fn forget(keep: &Path) {
-    for file in [keep, &deeds_file(keep)] {
+    for file in [keep, &log_file_path(keep)] {
         let _ = std::fs::remove_file(file);
     }
 }
