--- a/crates/decisions/src/interface/settings.rs
+++ b/crates/decisions/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a front, fixed for the life of a [`crate::SessionPolicy`] except for the fleet's size.
+//! Settings of a front, passed to a [`crate::SessionPolicy`] when it is created.
 
 use std::time::Duration;
 
--- a/crates/decisions/src/policy/account.rs
+++ b/crates/decisions/src/policy/account.rs
@@ -37,23 +37,26 @@
     /// Estimates the demand that other fronts have added since the reading, assuming that they act as this
     /// front does. In a rush they add sessions over the whole fleet (one session may be chance); or the
     /// fronts that received the same reading, which are those with a session here, add sessions here.
-    pub(super) fn growth_of_others(&self, p: &PeerEstimate) -> f64 {
+    pub(super) fn growth_of_others(&self, peers: &PeerEstimate) -> f64 {
         let here = (self.reserved - self.own_at_reading).max(0.0)
-            * (self.others_at_reading * p.sessions_per_link).clamp(0.0, p.peer_count);
+            * (self.others_at_reading * peers.sessions_per_link).clamp(0.0, peers.peer_count);
         here.max(
-            (p.own_sessions - self.sessions_at_reading - 1.0).max(0.0) * p.session_rate * p.peer_count
-                / p.total_capacity,
+            (peers.own_sessions - self.sessions_at_reading - 1.0).max(0.0)
+                * peers.session_rate
+                * peers.peer_count
+                / peers.total_capacity,
         )
     }
 
     /// Estimates the demand of other fronts: that of the last reading and its growth since, fading to the
     /// demand that is typical in the fleet.
-    pub(super) fn estimate_others(&self, now: Duration, typical: f64, p: &PeerEstimate) -> f64 {
+    pub(super) fn estimate_others(&self, now: Duration, typical: f64, peers: &PeerEstimate) -> f64 {
         let Some(t) = self.read_at else {
-            return typical.max(self.reserved * (typical * p.sessions_per_link).clamp(0.0, p.peer_count));
+            return typical
+                .max(self.reserved * (typical * peers.sessions_per_link).clamp(0.0, peers.peer_count));
         };
         let weight = FadingValue(1.0, t).at(now);
-        (self.others_at_reading + self.growth_of_others(p)) * weight + typical * (1.0 - weight)
+        (self.others_at_reading + self.growth_of_others(peers)) * weight + typical * (1.0 - weight)
     }
 
     pub(super) fn utilization(&self, now: Duration) -> f64 {
@@ -75,9 +78,9 @@
         past.map_or(0.0, |p| p.1)
     }
 
-    /// Applies a reading taken `age` ago. A reading with room ends short delivery if it comes more than a
-    /// reporting round after the last report of it; otherwise links stayed empty long after each sag. A link
-    /// whose capacity varies more slowly than that is filled again.
+    /// Applies a reading taken `age` ago. A reading below the utilization limit ends short delivery if it
+    /// comes more than a reporting round after the last report of it; otherwise the link would stay empty
+    /// long after a temporary loss of capacity. A link whose capacity varies more slowly is filled again.
     pub(super) fn apply_reading(
         &mut self,
         now: Duration,
--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -3,21 +3,23 @@
 use super::*;
 
 impl SessionPolicy {
-    pub(super) fn holds_title(&self, request: &SessionRequest, s: &Server) -> bool {
+    pub(super) fn holds_title(&self, request: &SessionRequest, server: &Server) -> bool {
         let cell_count = self.settings.cell_count;
         cell_count == 0
             || request.cell_count >= cell_count
-            || (s.entry.cell + cell_count - request.first_cell % cell_count) % cell_count < request.cell_count
+            || (server.entry.cell + cell_count - request.first_cell % cell_count) % cell_count
+                < request.cell_count
     }
 
     /// Returns whether the request may be sent to the server now, whatever its load.
-    pub(super) fn is_usable(&self, request: &SessionRequest, s: &Server) -> bool {
+    pub(super) fn is_usable(&self, request: &SessionRequest, server: &Server) -> bool {
         let class = &self.settings.classes[request.class];
-        s.entry.state == ServerState::Serving
-            && self.holds_title(request, s)
-            && s.suspended_until <= self.now
-            && (s.failures == 0 || (!s.probe_in_flight && !class.at_most_once))
-            && ((!self.is_cold(s) && self.restarts_unknown_until <= self.now) || self.has_setup_slot(s))
+        server.entry.state == ServerState::Serving
+            && self.holds_title(request, server)
+            && server.suspended_until <= self.now
+            && (server.failures == 0 || (!server.probe_in_flight && !class.at_most_once))
+            && ((!self.is_cold(server) && self.restarts_unknown_until <= self.now)
+                || self.has_setup_slot(server))
     }
 
     /// Selects the least utilized usable server on which a rung fits, and the highest rung that fits there.
@@ -29,10 +31,12 @@
         }
         let min_rung = class.min_rung;
         self.estimate_other_fronts();
-        let error_server = self.sessions.get(&request.id).and_then(|s| s.error_server);
-        let usable =
-            self.servers.iter().filter(|(id, s)| error_server != Some(**id) && self.is_usable(request, s));
-        let mut candidates: Vec<_> = usable.map(|(id, s)| (self.utilization(s), *id)).collect();
+        let error_server = self.sessions.get(&request.id).and_then(|session| session.error_server);
+        let usable = self
+            .servers
+            .iter()
+            .filter(|(id, server)| error_server != Some(**id) && self.is_usable(request, server));
+        let mut candidates: Vec<_> = usable.map(|(id, server)| (self.utilization(server), *id)).collect();
         self.rng.shuffle(&mut candidates); // ties are broken at random
         let order = |(used, id): &(Utilization, ServerId)| {
             used.link.max(used.uplink)
@@ -47,27 +51,34 @@
 
     /// Returns whether one more session at that rung keeps the link and the uplink within the rung's
     /// utilization limit.
-    pub(super) fn fits(&self, request: &SessionRequest, rung: usize, s: &Server, used: &Utilization) -> bool {
+    pub(super) fn fits(
+        &self,
+        request: &SessionRequest,
+        rung: usize,
+        server: &Server,
+        used: &Utilization,
+    ) -> bool {
         let same_stream =
-            |x: &Session| (x.request.title, x.request.class, x.rung) == (request.title, request.class, rung);
+            |s: &Session| (s.request.title, s.request.class, s.rung) == (request.title, request.class, rung);
         let joins = self.shares_streams(request.class)
-            && s.sessions
+            && server
+                .sessions
                 .iter()
                 .any(|id| *id != request.id && self.sessions.get(id).is_some_and(same_stream));
-        let demand = self.demand(s, request.class, rung, joins);
+        let demand = self.demand(server, request.class, rung, joins);
         let limit = self.utilization_limits[request.class][rung];
         used.link + demand.link <= limit && used.uplink + demand.rate / used.uplink_capacity <= limit
     }
 
-    pub(super) fn utilization(&self, s: &Server) -> Utilization {
-        let link = s.link.utilization(self.now);
-        let Some(r) = self.rack_of_server(s) else {
+    pub(super) fn utilization(&self, server: &Server) -> Utilization {
+        let link = server.link.utilization(self.now);
+        let Some(rack) = self.rack_of_server(server) else {
             return Utilization { link, uplink: 0.0, uplink_capacity: f64::INFINITY };
         };
-        let uplink_capacity = self.uplink_capacity(r);
+        let uplink_capacity = self.uplink_capacity(rack);
         Utilization {
             link,
-            uplink: r.uplink.utilization(self.now) * r.uplink_capacity / uplink_capacity,
+            uplink: rack.uplink.utilization(self.now) * rack.uplink_capacity / uplink_capacity,
             uplink_capacity,
         }
     }
@@ -78,31 +89,33 @@
     /// All fronts with sessions there receive the report in the same instant and act alike; their number is
     /// estimated from the other fronts' demand. If a rung has room for only some of the sessions, each takes
     /// it with the probability that as many do as have room, less one standard deviation.
-    pub(super) fn raise_adopted(&mut self, server: ServerId) {
-        let Some(s) = self.servers.get(&server) else { return };
-        let known = s.sessions.iter().filter_map(|id| Some((self.sessions.get(id)?, *id)));
-        let undecided =
-            known.filter(|(s, _)| s.rung_undecided && matches!(s.state, SessionState::Playing(..)));
+    pub(super) fn raise_adopted(&mut self, server_id: ServerId) {
+        let Some(server) = self.servers.get(&server_id) else { return };
+        let known = server.sessions.iter().filter_map(|id| Some((self.sessions.get(id)?, *id)));
+        let undecided = known.filter(|(session, _)| {
+            session.rung_undecided && matches!(session.state, SessionState::Playing(..))
+        });
         let mut ids: Vec<_> =
-            undecided.map(|(s, id)| (self.settings.classes[s.request.class].worth, id)).collect();
+            undecided.map(|(session, id)| (self.settings.classes[session.request.class].worth, id)).collect();
         ids.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         for (_, id) in ids {
             self.estimate_other_fronts();
-            let (session, s) = (&self.sessions[&id], &self.servers[&server]);
+            let (session, server) = (&self.sessions[&id], &self.servers[&server_id]);
             let (request, old_rung) = (&session.request, session.rung);
             let max_rung = request
                 .max_rung
                 .min(self.settings.classes[request.class].max_rung)
                 .min(self.settings.ladder.len() - 1);
-            let used = self.utilization(s);
+            let used = self.utilization(server);
             let sessions_alike = |rate: f64| {
                 1.0 + (rate / self.session_rate)
                     .clamp(0.0, self.settings.front_count.saturating_sub(1) as f64)
             };
-            let on_link = sessions_alike(s.link.others * s.rated_capacity);
-            let on_uplink =
-                sessions_alike(self.rack_of_server(s).map_or(0.0, |r| r.uplink.others * r.uplink_capacity));
-            let demand = |rung: usize| self.demand(s, request.class, rung, false);
+            let on_link = sessions_alike(server.link.others * server.rated_capacity);
+            let on_uplink = sessions_alike(
+                self.rack_of_server(server).map_or(0.0, |rack| rack.uplink.others * rack.uplink_capacity),
+            );
+            let demand = |rung: usize| self.demand(server, request.class, rung, false);
             let probability = |rung: usize| {
                 let (limit, old, lower, new) = (
                     self.utilization_limits[request.class][rung],
@@ -143,20 +156,21 @@
 
     /// Sends the set-up of a waiting request to a server, or answers the request.
     pub(super) fn place(&mut self, id: RequestId) {
-        let Some(s) = self.sessions.get(&id) else { return };
-        if s.state != SessionState::Waiting || s.settled {
+        let Some(session) = self.sessions.get(&id) else { return };
+        if session.state != SessionState::Waiting || session.settled {
             return;
         }
-        let request = s.request.clone();
+        let request = session.request.clone();
         // The limit of sessions per title includes adopted sessions and those in set-up.
         let max_sessions = self.settings.classes.get(request.class).map_or(0, |c| c.max_sessions_per_title);
-        let same_title = |s: &&Session| {
-            (s.request.title, s.request.class) == (request.title, request.class) && s.server().is_some()
+        let same_title = |session: &&Session| {
+            (session.request.title, session.request.class) == (request.title, request.class)
+                && session.server().is_some()
         };
         let within_limit =
             max_sessions == 0 || self.sessions.values().filter(same_title).count() < max_sessions;
         match if within_limit { self.select_server(&request) } else { None } {
-            Some((server, rung)) => self.send(id, server, rung),
+            Some((server_id, rung)) => self.send(id, server_id, rung),
             None => self.answer(id),
         }
     }
--- a/crates/decisions/src/policy/attempts.rs
+++ b/crates/decisions/src/policy/attempts.rs
@@ -5,37 +5,37 @@
 impl SessionPolicy {
     /// Sends a set-up, unless a rule forbids it. `is_usable` and `place` have checked the rules for the
     /// server and the title; this function checks those for the request.
-    pub(super) fn send(&mut self, id: RequestId, server: ServerId, rung: usize) {
+    pub(super) fn send(&mut self, id: RequestId, server_id: ServerId, rung: usize) {
         let retry_allowed = self.retry_budget_allows();
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let class = &self.settings.classes[s.request.class];
-        let remaining = s.request.deadline.saturating_sub(self.now);
-        let forbidden = (s.possibly_executed && class.at_most_once)
-            || s.attempts >= self.settings.limits.max_attempts
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let class = &self.settings.classes[session.request.class];
+        let remaining = session.request.deadline.saturating_sub(self.now);
+        let forbidden = (session.possibly_executed && class.at_most_once)
+            || session.attempts >= self.settings.limits.max_attempts
             || remaining.is_zero()
-            || (s.attempts > 0 && !retry_allowed);
+            || (session.attempts > 0 && !retry_allowed);
         if forbidden {
             return self.answer(id);
         }
-        if s.attempts > 0 {
+        if session.attempts > 0 {
             self.retry_times.push_back(self.now);
         }
-        let may_retry = !class.at_most_once && s.attempts + 1 < self.settings.limits.max_attempts;
+        let may_retry = !class.at_most_once && session.attempts + 1 < self.settings.limits.max_attempts;
         let timeout = if may_retry {
             remaining.min(class.target_setup_time.mul_f64(ATTEMPT_TIME_FRACTION))
         } else {
             remaining
         };
-        s.attempts += 1;
+        session.attempts += 1;
         self.set_rung(id, rung);
-        let s = self.sessions.get_mut(&id).expect("looked up above");
-        s.state = SessionState::SettingUp(server);
-        self.actions.push(Action::Send(id, server, timeout));
-        let s = self.servers.get_mut(&server).expect("selected from the known servers");
-        s.sessions.insert(id);
-        s.probe_in_flight = s.failures > 0;
-        s.last_setup_at = Some(self.now);
-        self.update_demand(server);
+        let session = self.sessions.get_mut(&id).expect("looked up above");
+        session.state = SessionState::SettingUp(server_id);
+        self.actions.push(Action::Send(id, server_id, timeout));
+        let server = self.servers.get_mut(&server_id).expect("selected from the known servers");
+        server.sessions.insert(id);
+        server.probe_in_flight = server.failures > 0;
+        server.last_setup_at = Some(self.now);
+        self.update_demand(server_id);
     }
 
     /// Returns whether the retry budget allows one more retry now.
@@ -54,26 +54,26 @@
     /// Sets the rung of a session, unless it is above what the viewer or the class allows or below the
     /// lowest rung of the class.
     pub(super) fn set_rung(&mut self, id: RequestId, rung: usize) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let class = &self.settings.classes[s.request.class];
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let class = &self.settings.classes[session.request.class];
         if rung < class.min_rung
             || rung > class.max_rung
-            || rung > s.request.max_rung
+            || rung > session.request.max_rung
             || rung >= self.settings.ladder.len()
         {
             return;
         }
-        s.rung = rung;
-        let server = s.server();
-        server.into_iter().for_each(|server| self.update_demand(server));
+        session.rung = rung;
+        let server_id = session.server();
+        server_id.into_iter().for_each(|server_id| self.update_demand(server_id));
         self.actions.push(Action::SetRung(id, rung));
     }
 
     /// Gives the final answer to a request: a failure if its class is executed at most once and an attempt
     /// may have been executed, otherwise a refusal, after which the viewer can safely repeat the request.
     pub(super) fn answer(&mut self, id: RequestId) {
-        let Some(s) = self.sessions.remove(&id).filter(|s| !s.settled) else { return };
-        if s.possibly_executed && self.settings.classes[s.request.class].at_most_once {
+        let Some(session) = self.sessions.remove(&id).filter(|session| !session.settled) else { return };
+        if session.possibly_executed && self.settings.classes[session.request.class].at_most_once {
             self.actions.push(Action::Fail(id));
         } else {
             self.actions.push(Action::Refuse(id, self.settings.limits.max_retry_after));
@@ -81,16 +81,16 @@
     }
 
     /// Adopts a session that was playing at the server when this front started.
-    pub(super) fn adopt(&mut self, request: &SessionRequest, server: ServerId) {
+    pub(super) fn adopt(&mut self, request: &SessionRequest, server_id: ServerId) {
         let (Some(class), false) =
             (self.settings.classes.get(request.class), self.settings.ladder.is_empty())
         else {
             return;
         };
         let rung = class.min_rung.min(self.settings.ladder.len() - 1);
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.sessions.insert(request.id);
-        let (request, state) = (request.clone(), SessionState::Playing(server, self.now));
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.sessions.insert(request.id);
+        let (request, state) = (request.clone(), SessionState::Playing(server_id, self.now));
         let session = Session {
             state,
             rung,
@@ -101,24 +101,24 @@
             ..Session::default()
         };
         self.sessions.insert(session.request.id, session);
-        self.update_demand(server);
+        self.update_demand(server_id);
     }
 
-    pub(super) fn session_playing(&mut self, id: RequestId, server: ServerId) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        if s.state != SessionState::SettingUp(server) {
+    pub(super) fn session_playing(&mut self, id: RequestId, server_id: ServerId) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        if session.state != SessionState::SettingUp(server_id) {
             return;
         }
-        s.state = SessionState::Playing(server, self.now);
-        s.settled = true;
-        self.update_demand(server);
-        self.record_success(server);
+        session.state = SessionState::Playing(server_id, self.now);
+        session.settled = true;
+        self.update_demand(server_id);
+        self.record_success(server_id);
     }
 
     pub(super) fn viewer_left(&mut self, id: RequestId) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        s.settled = true;
-        if s.state == SessionState::Waiting {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        session.settled = true;
+        if session.state == SessionState::Waiting {
             self.sessions.remove(&id);
         }
     }
@@ -128,34 +128,34 @@
         &mut self,
         id: RequestId,
         attempt: u32,
-        server: ServerId,
+        server_id: ServerId,
         outcome: AttemptOutcome,
         closed: bool,
     ) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        if attempt + 1 != s.attempts || s.state == SessionState::Waiting {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        if attempt + 1 != session.attempts || session.state == SessionState::Waiting {
             return;
         }
-        s.state = SessionState::Waiting;
-        s.possibly_executed |= !outcome.never_executed();
-        s.settled |= closed;
-        let settled = s.settled;
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.sessions.remove(&id);
+        session.state = SessionState::Waiting;
+        session.possibly_executed |= !outcome.never_executed();
+        session.settled |= closed;
+        let settled = session.settled;
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.sessions.remove(&id);
         }
-        self.update_demand(server);
+        self.update_demand(server_id);
         // One time-out may be congestion; a second one before any success may mean a restart.
-        let failed_before = self.servers.get(&server).is_some_and(|s| s.failures > 0);
+        let failed_before = self.servers.get(&server_id).is_some_and(|server| server.failures > 0);
         match outcome {
-            AttemptOutcome::Error => self.record_error(id, server),
-            AttemptOutcome::ConnectFailed => self.record_failure(server, true, "connection failed"),
-            AttemptOutcome::Reset => self.record_failure(server, true, "connection lost"),
-            AttemptOutcome::Timeout => self.record_failure(server, failed_before, "no answer in time"),
+            AttemptOutcome::Error => self.record_error(id, server_id),
+            AttemptOutcome::ConnectFailed => self.record_failure(server_id, true, "connection failed"),
+            AttemptOutcome::Reset => self.record_failure(server_id, true, "connection lost"),
+            AttemptOutcome::Timeout => self.record_failure(server_id, failed_before, "no answer in time"),
             _ => {
-                if let Some(s) = self.servers.get_mut(&server) {
-                    s.probe_in_flight = false;
+                if let Some(server) = self.servers.get_mut(&server_id) {
+                    server.probe_in_flight = false;
                     if outcome == AttemptOutcome::Full {
-                        s.link.mark_full(self.now);
+                        server.link.mark_full(self.now);
                     }
                 }
             }
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -186,12 +186,14 @@
             match event {
                 Event::ListUpdate(mode, entries) => self.update_list(*mode, entries),
                 Event::Request(request) => accepted.extend(self.accept(request)),
-                Event::Adopted(request, server) => self.adopt(request, *server),
-                Event::Playing(id, _, server, _) => self.session_playing(*id, *server),
-                Event::SessionReport(id, server, report) => self.apply_session_report(*id, *server, *report),
-                Event::AttemptEnded(id, attempt, server, outcome, closed, load) => {
-                    self.apply_load_report(*server, TYPICAL_REPORT_AGE, *load);
-                    self.attempt_ended(*id, *attempt, *server, *outcome, *closed)
+                Event::Adopted(request, server_id) => self.adopt(request, *server_id),
+                Event::Playing(id, _, server_id, _) => self.session_playing(*id, *server_id),
+                Event::SessionReport(id, server_id, report) => {
+                    self.apply_session_report(*id, *server_id, *report)
+                }
+                Event::AttemptEnded(id, attempt, server_id, outcome, closed, load) => {
+                    self.apply_load_report(*server_id, TYPICAL_REPORT_AGE, *load);
+                    self.attempt_ended(*id, *attempt, *server_id, *outcome, *closed)
                 }
                 Event::ViewerLeft(id) => self.viewer_left(*id),
                 Event::PeerReport(report) => self.apply_peer_report(report),
@@ -205,8 +207,8 @@
         for id in std::mem::take(&mut self.retry_queue).into_iter().chain(accepted) {
             self.place(id);
         }
-        for server in std::mem::take(&mut self.reported_servers) {
-            self.raise_adopted(server);
+        for server_id in std::mem::take(&mut self.reported_servers) {
+            self.raise_adopted(server_id);
         }
         std::mem::take(&mut self.actions)
     }
@@ -217,7 +219,7 @@
     fn server(&self) -> Option<ServerId> {
         match self.state {
             SessionState::Waiting => None,
-            SessionState::SettingUp(server) | SessionState::Playing(server, _) => Some(server),
+            SessionState::SettingUp(server_id) | SessionState::Playing(server_id, _) => Some(server_id),
         }
     }
 }
--- a/crates/decisions/src/policy/reports.rs
+++ b/crates/decisions/src/policy/reports.rs
@@ -5,85 +5,97 @@
 impl SessionPolicy {
     /// Applies a load report of the given age. It does not raise sessions, only session reports do: of many
     /// noisy readings the lowest would decide.
-    pub(super) fn apply_load_report(&mut self, server: ServerId, age: Duration, load: LoadReport) {
+    pub(super) fn apply_load_report(&mut self, server_id: ServerId, age: Duration, load: LoadReport) {
         let (now, round) = (self.now, self.settings.report_interval + self.settings.report_delay);
         let sessions = self.session_count.own_demand_at(now.saturating_sub(age));
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        let cell = s.entry.cell;
-        load.link_load.into_iter().for_each(|x| s.link.apply_reading(now, age, x, round, sessions));
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        let cell = server.entry.cell;
+        load.link_load
+            .into_iter()
+            .for_each(|reading| server.link.apply_reading(now, age, reading, round, sessions));
         self.estimated_at = None;
-        if let (Some(x), Some(rack)) = (load.uplink_load, self.rack_of(cell)) {
-            self.racks.entry(rack).or_default().uplink.apply_reading(now, age, x, round, sessions);
+        if let (Some(reading), Some(rack_id)) = (load.uplink_load, self.rack_id_of(cell)) {
+            self.racks.entry(rack_id).or_default().uplink.apply_reading(now, age, reading, round, sessions);
         }
     }
 
-    pub(super) fn apply_session_report(&mut self, id: RequestId, server: ServerId, report: SessionReport) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
+    pub(super) fn apply_session_report(&mut self, id: RequestId, server_id: ServerId, report: SessionReport) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
         // The reading that comes with a set-up is current; later ones are delayed.
         let just_started =
-            matches!(s.state, SessionState::Playing(_, t) if self.now - t < self.settings.report_delay);
+            matches!(session.state, SessionState::Playing(_, t) if self.now - t < self.settings.report_delay);
         let age = if just_started { Duration::ZERO } else { self.settings.report_delay };
         match report {
             SessionReport::Rung(rung) if rung < self.settings.ladder.len() => {
-                s.rung = rung;
-                self.update_demand(server);
+                session.rung = rung;
+                self.update_demand(server_id);
             }
             SessionReport::Rung(_) => {}
-            SessionReport::LinkLoad(x) => {
-                self.apply_load_report(server, age, LoadReport { link_load: Some(x), uplink_load: None });
-                self.reported_servers.push(server);
+            SessionReport::LinkLoad(load) => {
+                self.apply_load_report(
+                    server_id,
+                    age,
+                    LoadReport { link_load: Some(load), uplink_load: None },
+                );
+                self.reported_servers.push(server_id);
             }
-            SessionReport::UplinkLoad(x) => {
-                self.apply_load_report(server, age, LoadReport { link_load: None, uplink_load: Some(x) })
-            }
-            SessionReport::DeliveredShare(share) => self.apply_delivered_share(server, share),
+            SessionReport::UplinkLoad(load) => self.apply_load_report(
+                server_id,
+                age,
+                LoadReport { link_load: None, uplink_load: Some(load) },
+            ),
+            SessionReport::DeliveredShare(share) => self.apply_delivered_share(server_id, share),
         }
     }
 
     /// Applies a report of the fraction of their rates that the server's sessions received.
-    pub(super) fn apply_delivered_share(&mut self, server: ServerId, share: f64) {
+    pub(super) fn apply_delivered_share(&mut self, server_id: ServerId, share: f64) {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.short_delivery_at = (share < MIN_DELIVERED_SHARE).then_some(now);
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.short_delivery_at = (share < MIN_DELIVERED_SHARE).then_some(now);
         if share >= MIN_DELIVERED_SHARE {
             return;
         }
         self.estimate_other_fronts();
-        let s = &self.servers[&server];
-        let link_load = s.link.last_reading().unwrap_or(1.0);
-        let rack = self.rack_of(s.entry.cell).filter(|r| self.uplink_is_short(*r, link_load));
-        let account = match rack.and_then(|r| self.racks.get_mut(&r)) {
-            Some(r) => {
-                if r.uplink.read_at.is_none() {
+        let server = &self.servers[&server_id];
+        let link_load = server.link.last_reading().unwrap_or(1.0);
+        let rack_id = self.rack_id_of(server.entry.cell).filter(|id| self.uplink_is_short(*id, link_load));
+        let account = match rack_id.and_then(|id| self.racks.get_mut(&id)) {
+            Some(rack) => {
+                if rack.uplink.read_at.is_none() {
                     // Uplinks differ from the configured mean. The demand and the share of it that was
-                    // delivered give the capacity, also during a sag; the result is wrong if the readings of
-                    // the links are old.
-                    let missing = 1.0 - (r.uplink.reserved + r.uplink.others) * share;
-                    r.missing_capacity =
-                        FadingValue(missing.clamp(0.0, MAX_UTILIZATION).max(r.missing_capacity.at(now)), now);
+                    // delivered give the capacity, also during a temporary loss; the result is wrong if the
+                    // readings of the links are old.
+                    let missing = 1.0 - (rack.uplink.reserved + rack.uplink.others) * share;
+                    rack.missing_capacity = FadingValue(
+                        missing.clamp(0.0, MAX_UTILIZATION).max(rack.missing_capacity.at(now)),
+                        now,
+                    );
                 }
-                &mut r.uplink
+                &mut rack.uplink
             }
-            None => &mut self.servers.get_mut(&server).expect("looked up above").link,
+            None => &mut self.servers.get_mut(&server_id).expect("looked up above").link,
         };
         account.mark_full(now);
         // Reports are delayed and all servers of a rack send them, so the effect of a step down shows late.
         if account.last_step_down_at + SHORT_DELIVERY_INTERVAL + self.settings.report_delay <= now {
             account.last_step_down_at = now;
-            self.step_down(server, rack, share);
+            self.step_down(server_id, rack_id, share);
         }
     }
 
     /// Returns whether the uplink is short rather than a link: then all servers of the rack that this front
     /// uses deliver short. Guards against one impaired server that makes half the fleet look full. May hurt:
     /// wrong while only one server of the rack is in use.
-    pub(super) fn uplink_is_short(&self, rack: u64, link_load: f64) -> bool {
-        let uplink_load = self.racks.get(&rack).and_then(|r| r.uplink.last_reading());
+    pub(super) fn uplink_is_short(&self, rack_id: u64, link_load: f64) -> bool {
+        let uplink_load = self.racks.get(&rack_id).and_then(|rack| rack.uplink.last_reading());
         let (mut short, mut sufficient) = (0, 0);
-        for s in self.servers.values().filter(|s| self.rack_of(s.entry.cell) == Some(rack)) {
-            let in_use = s.own.playing.rate > 0.0
-                && s.link.own_demand_at(self.now.saturating_sub(self.settings.report_delay)) > 0.0;
-            match s.short_delivery_at {
+        for server in
+            self.servers.values().filter(|server| self.rack_id_of(server.entry.cell) == Some(rack_id))
+        {
+            let in_use = server.own.playing.rate > 0.0
+                && server.link.own_demand_at(self.now.saturating_sub(self.settings.report_delay)) > 0.0;
+            match server.short_delivery_at {
                 Some(t) if t + SHORT_DELIVERY_INTERVAL * 2 > self.now => short += 1,
                 _ if in_use => sufficient += 1,
                 _ => {}
@@ -95,21 +107,24 @@
     /// Steps sessions of a short server or rack down until this front has freed its part of the missing
     /// capacity: first those that lose the least worth for each kB, each by one rung and at most once in
     /// `STEP_DOWN_INTERVAL`.
-    pub(super) fn step_down(&mut self, server: ServerId, rack: Option<u64>, share: f64) {
+    pub(super) fn step_down(&mut self, server_id: ServerId, rack_id: Option<u64>, share: f64) {
         let now = self.now;
         let (mut total_rate, mut steps) = (0.0, Vec::new());
-        for (id, s) in &self.sessions {
-            let SessionState::Playing(playing_at, _) = s.state else { continue };
-            let its_rack = self.servers.get(&playing_at).and_then(|s| self.rack_of(s.entry.cell));
-            if playing_at != server && (rack.is_none() || its_rack != rack) {
+        for (id, session) in &self.sessions {
+            let SessionState::Playing(playing_at, _) = session.state else { continue };
+            let its_rack_id =
+                self.servers.get(&playing_at).and_then(|server| self.rack_id_of(server.entry.cell));
+            if playing_at != server_id && (rack_id.is_none() || its_rack_id != rack_id) {
                 continue;
             }
-            let class = &self.settings.classes[s.request.class];
+            let class = &self.settings.classes[session.request.class];
             let rate = |rung: usize| self.settings.ladder[rung].rate_kb_per_s * class.rate_scale;
-            total_rate += rate(s.rung);
-            if s.rung > class.min_rung && s.last_step_down_at.is_none_or(|t| t + STEP_DOWN_INTERVAL <= now) {
-                let (from, to) = (self.settings.ladder[s.rung], self.settings.ladder[s.rung - 1]);
-                let freed = rate(s.rung) - rate(s.rung - 1);
+            total_rate += rate(session.rung);
+            if session.rung > class.min_rung
+                && session.last_step_down_at.is_none_or(|t| t + STEP_DOWN_INTERVAL <= now)
+            {
+                let (from, to) = (self.settings.ladder[session.rung], self.settings.ladder[session.rung - 1]);
+                let freed = rate(session.rung) - rate(session.rung - 1);
                 let loss = class.worth * (from.worth - to.worth) / freed.max(EPSILON);
                 steps.push((loss, *id, freed));
             }
@@ -123,9 +138,9 @@
                 return;
             }
             excess -= freed;
-            let s = self.sessions.get_mut(&id).expect("listed above");
-            s.last_step_down_at = Some(now);
-            let lower = s.rung - 1;
+            let session = self.sessions.get_mut(&id).expect("listed above");
+            session.last_step_down_at = Some(now);
+            let lower = session.rung - 1;
             self.set_rung(id, lower);
         }
     }
--- a/crates/decisions/src/policy/servers.rs
+++ b/crates/decisions/src/policy/servers.rs
@@ -17,28 +17,30 @@
             self.actions.push(Action::Subscribe);
         }
         if mode != ListMode::Patch {
-            self.servers.values_mut().for_each(|s| s.entry.state = ServerState::Removed);
+            self.servers.values_mut().for_each(|server| server.entry.state = ServerState::Removed);
         }
-        for e in entries {
-            let s = self.servers.entry(e.server).or_default();
-            let restarted = e.started_at > s.entry.started_at;
-            s.entry = *e;
+        for entry in entries {
+            let server = self.servers.entry(entry.server).or_default();
+            let restarted = entry.started_at > server.entry.started_at;
+            server.entry = *entry;
             if restarted {
-                self.server_restarted(e.server, e.started_at);
+                self.server_restarted(entry.server, entry.started_at);
             }
         }
         // A removed server is tracked, with its readings, until its last session ends.
-        self.servers.retain(|_, s| s.entry.state != ServerState::Removed || !s.sessions.is_empty());
+        self.servers
+            .retain(|_, server| server.entry.state != ServerState::Removed || !server.sessions.is_empty());
         self.compute_capacities();
         self.estimated_at = None;
     }
 
     /// Clears the failures of the server's previous process.
-    pub(super) fn server_restarted(&mut self, server: ServerId, started_at: Duration) {
+    pub(super) fn server_restarted(&mut self, server_id: ServerId, started_at: Duration) {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        (s.may_have_restarted, s.probe_in_flight, s.failures, s.suspended_until) = (false, false, 0, now);
-        s.cold_since = s.cold_since.max(Some(started_at));
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        (server.may_have_restarted, server.probe_in_flight, server.failures, server.suspended_until) =
+            (false, false, 0, now);
+        server.cold_since = server.cold_since.max(Some(started_at));
     }
 
     /// Applies a peer's knowledge of a server that this front's list contains. Guards a restarted front
@@ -47,36 +49,38 @@
     /// May hurt: a peer's mistake suspends a server for some seconds.
     pub(super) fn apply_peer_report(&mut self, report: &PeerReport) {
         let read_at = self.now.saturating_sub(report.load_age);
-        let Some(s) = self.servers.get_mut(&report.server) else { return };
+        let Some(server) = self.servers.get_mut(&report.server) else { return };
         if report.state != ServerState::Serving {
-            s.entry.state = report.state;
+            server.entry.state = report.state;
         }
-        if report.started_at > s.entry.started_at {
-            s.entry.started_at = report.started_at;
+        if report.started_at > server.entry.started_at {
+            server.entry.started_at = report.started_at;
             self.server_restarted(report.server, report.started_at);
         }
         let (unused, cell) = {
-            let s = &self.servers[&report.server];
-            (s.failures == 0 && s.sessions.is_empty(), s.entry.cell)
+            let server = &self.servers[&report.server];
+            (server.failures == 0 && server.sessions.is_empty(), server.entry.cell)
         };
         if report.failed && unused {
             self.record_failure(report.server, report.may_have_restarted, "failure reported by a peer");
         }
         let is_older = |m: Option<&LinkAccount>| m.and_then(|m| m.read_at).is_none_or(|t| t < read_at);
-        let rack = self.rack_of(cell);
-        let link_load =
-            report.load.link_load.filter(|_| is_older(self.servers.get(&report.server).map(|s| &s.link)));
+        let rack_id = self.rack_id_of(cell);
+        let link_load = report
+            .load
+            .link_load
+            .filter(|_| is_older(self.servers.get(&report.server).map(|server| &server.link)));
         let uplink_load = report
             .load
             .uplink_load
-            .filter(|_| is_older(rack.and_then(|r| self.racks.get(&r)).map(|r| &r.uplink)));
+            .filter(|_| is_older(rack_id.and_then(|id| self.racks.get(&id)).map(|rack| &rack.uplink)));
         self.apply_load_report(report.server, report.load_age, LoadReport { link_load, uplink_load });
         // The reading has been fading since the peer took it.
-        if let (Some(_), Some(s)) = (link_load, self.servers.get_mut(&report.server)) {
-            s.link.read_at = Some(read_at);
+        if let (Some(_), Some(server)) = (link_load, self.servers.get_mut(&report.server)) {
+            server.link.read_at = Some(read_at);
         }
-        if let (Some(_), Some(r)) = (uplink_load, rack.and_then(|r| self.racks.get_mut(&r))) {
-            r.uplink.read_at = Some(read_at);
+        if let (Some(_), Some(rack)) = (uplink_load, rack_id.and_then(|id| self.racks.get_mut(&id))) {
+            rack.uplink.read_at = Some(read_at);
         }
     }
 
@@ -84,30 +88,31 @@
     /// uplinks, in proportion to the links of their racks.
     pub(super) fn compute_capacities(&mut self) {
         let max_streams =
-            |e: &ListEntry| self.settings.max_streams_by_kind.get(e.kind).copied().unwrap_or(1.0);
-        let total: f64 = self.servers.values().map(|s| max_streams(&s.entry)).sum();
+            |entry: &ListEntry| self.settings.max_streams_by_kind.get(entry.kind).copied().unwrap_or(1.0);
+        let total: f64 = self.servers.values().map(|server| max_streams(&server.entry)).sum();
         let mean = total / self.servers.len().max(1) as f64;
-        for s in self.servers.values_mut() {
-            let weight = if mean > 0.0 { max_streams(&s.entry) / mean } else { 1.0 };
-            s.rated_capacity = self.settings.link_unit_kb_per_s
-                * if self.settings.sized_by_weight { s.entry.weight } else { weight };
-        }
-        self.racks.values_mut().for_each(|r| r.links_capacity = 0.0);
-        for s in self.servers.values() {
-            if let Some(rack) = self.rack_of(s.entry.cell) {
-                self.racks.entry(rack).or_default().links_capacity += s.rated_capacity;
+        for server in self.servers.values_mut() {
+            let weight = if mean > 0.0 { max_streams(&server.entry) / mean } else { 1.0 };
+            server.rated_capacity = self.settings.link_unit_kb_per_s
+                * if self.settings.sized_by_weight { server.entry.weight } else { weight };
+        }
+        self.racks.values_mut().for_each(|rack| rack.links_capacity = 0.0);
+        for server in self.servers.values() {
+            if let Some(rack_id) = self.rack_id_of(server.entry.cell) {
+                self.racks.entry(rack_id).or_default().links_capacity += server.rated_capacity;
             }
         }
         let mean =
-            self.racks.values().map(|r| r.links_capacity).sum::<f64>() / self.racks.len().max(1) as f64;
-        for r in self.racks.values_mut() {
-            r.uplink_capacity =
-                self.settings.rack_uplink_kb_per_s * if mean > 0.0 { r.links_capacity / mean } else { 1.0 };
+            self.racks.values().map(|rack| rack.links_capacity).sum::<f64>() / self.racks.len().max(1) as f64;
+        for rack in self.racks.values_mut() {
+            rack.uplink_capacity = self.settings.rack_uplink_kb_per_s
+                * if mean > 0.0 { rack.links_capacity / mean } else { 1.0 };
         }
     }
 
-    pub(super) fn is_cold(&self, s: &Server) -> bool {
-        s.may_have_restarted || s.cold_since.is_some_and(|t| t + self.settings.rules.warm_up > self.now)
+    pub(super) fn is_cold(&self, server: &Server) -> bool {
+        server.may_have_restarted
+            || server.cold_since.is_some_and(|t| t + self.settings.rules.warm_up > self.now)
     }
 
     /// Returns whether this front may send one more set-up to a cold server now. The server's capacity is
@@ -118,15 +123,16 @@
     /// opens each `interval` and stays open for a while, for one set-up. At most `max_setups` slots overlap a
     /// window, including set-ups that arrive late. A front without an index has no slot. May hurt: a slot in
     /// which no request arrives is unused.
-    pub(super) fn has_setup_slot(&self, s: &Server) -> bool {
-        let r = &self.settings.rules;
-        let max_streams = self.settings.max_streams_by_kind.get(s.entry.kind).copied().unwrap_or(1.0);
-        let budget = r.overload_multiple * max_streams / secs(r.warm_up).max(EPSILON)
-            * r.cold_capacity_fraction
-            * secs(r.overload_window);
+    pub(super) fn has_setup_slot(&self, server: &Server) -> bool {
+        let rules = &self.settings.rules;
+        let max_streams = self.settings.max_streams_by_kind.get(server.entry.kind).copied().unwrap_or(1.0);
+        let budget = rules.overload_multiple * max_streams / secs(rules.warm_up).max(EPSILON)
+            * rules.cold_capacity_fraction
+            * secs(rules.overload_window);
         let max_setups =
-            (budget + r.overload_margin + r.overload_margin_root * budget.max(0.0).sqrt()).floor();
-        let (fronts, window) = (self.settings.front_count.max(1), secs(r.overload_window + MAX_SETUP_DELAY));
+            (budget + rules.overload_margin + rules.overload_margin_root * budget.max(0.0).sqrt()).floor();
+        let (fronts, window) =
+            (self.settings.front_count.max(1), secs(rules.overload_window + MAX_SETUP_DELAY));
         let elapsed = |t: Duration| secs(self.now.saturating_sub(t));
         if self.fleet_size == Some(None) || max_setups < 1.0 {
             return false;
@@ -134,20 +140,21 @@
         if max_setups >= fronts as f64 {
             let gap = window / (max_setups / fronts as f64).floor();
             // At a server that may have restarted unnoticed, the first set-up need not wait.
-            let recovered = self.recovered_setup_at.filter(|_| self.is_cold(s));
-            return s.last_setup_at.is_none_or(|t| elapsed(t) >= gap)
+            let recovered = self.recovered_setup_at.filter(|_| self.is_cold(server));
+            return server.last_setup_at.is_none_or(|t| elapsed(t) >= gap)
                 && recovered.is_none_or(|t| elapsed(t) >= window);
         }
         let Some(index) = self.settings.front_index.filter(|_| self.fleet_size.is_none()) else {
             return false;
         };
-        let slot_length = secs(r.overload_window) * SLOT_WINDOWS;
+        let slot_length = secs(rules.overload_window) * SLOT_WINDOWS;
         let interval = (window + slot_length) / max_setups;
-        let offset = (index as u64 + s.entry.shared_key % fronts as u64) as f64 * interval;
+        let offset = (index as u64 + server.entry.shared_key % fronts as u64) as f64 * interval;
         let since_opening =
             (secs(self.now + self.clock_offset) - offset).rem_euclid(interval * fronts as f64);
         since_opening < slot_length
-            && s.last_setup_at
+            && server
+                .last_setup_at
                 .max(self.recovered_setup_at)
                 .is_none_or(|t| elapsed(t) > since_opening + secs(MAX_SETUP_DELAY))
     }
@@ -156,9 +163,9 @@
     /// `None` if there is no such limit. Guards a cold server against set-ups that arrive after their time
     /// slot because the front was suspended or the connection was made late. May hurt: a dropped set-up uses
     /// up an attempt.
-    pub fn max_send_delay(&self, server: ServerId) -> Option<Duration> {
-        let s = self.servers.get(&server)?;
-        (self.is_cold(s) || self.restarts_unknown_until > self.now)
+    pub fn max_send_delay(&self, server_id: ServerId) -> Option<Duration> {
+        let server = self.servers.get(&server_id)?;
+        (self.is_cold(server) || self.restarts_unknown_until > self.now)
             .then_some(MAX_SETUP_DELAY - TRANSIT_ALLOWANCE)
     }
 
@@ -192,41 +199,43 @@
     /// counts as the server's failure only if its previous answer was an error too, and only the first error
     /// of a request counts. Guards against a client whose set-ups would suspend all servers. May hurt: one
     /// more set-up goes to a server that begins to fail.
-    pub(super) fn record_error(&mut self, request: RequestId, server: ServerId) {
-        let first = self.sessions.get_mut(&request).and_then(|s| s.error_server.replace(server)).is_none();
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.probe_in_flight = false;
-        if (first && std::mem::replace(&mut s.last_answer_was_error, true)) || s.failures > 0 {
-            self.record_failure(server, false, "repeated errors");
+    pub(super) fn record_error(&mut self, id: RequestId, server_id: ServerId) {
+        let first =
+            self.sessions.get_mut(&id).and_then(|session| session.error_server.replace(server_id)).is_none();
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.probe_in_flight = false;
+        if (first && std::mem::replace(&mut server.last_answer_was_error, true)) || server.failures > 0 {
+            self.record_failure(server_id, false, "repeated errors");
         }
     }
 
-    pub(super) fn record_failure(&mut self, server: ServerId, may_have_restarted: bool, reason: &str) {
+    pub(super) fn record_failure(&mut self, server_id: ServerId, may_have_restarted: bool, reason: &str) {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.probe_in_flight = false;
-        s.may_have_restarted |= may_have_restarted;
-        if now < s.suspended_until && s.failures > 0 {
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.probe_in_flight = false;
+        server.may_have_restarted |= may_have_restarted;
+        if now < server.suspended_until && server.failures > 0 {
             return; // the same failure, reported by several sessions
         }
-        s.failures += 1;
-        s.suspended_until = now + (INITIAL_BACKOFF * 2u32.pow((s.failures - 1).min(8))).min(MAX_BACKOFF);
-        if s.failures == 1 {
-            self.actions.push(Action::Log(format!("server {server} suspended: {reason}")));
+        server.failures += 1;
+        server.suspended_until =
+            now + (INITIAL_BACKOFF * 2u32.pow((server.failures - 1).min(8))).min(MAX_BACKOFF);
+        if server.failures == 1 {
+            self.actions.push(Action::Log(format!("server {server_id} suspended: {reason}")));
         }
     }
 
-    pub(super) fn record_success(&mut self, server: ServerId) {
+    pub(super) fn record_success(&mut self, server_id: ServerId) {
         let now = self.now;
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        (s.probe_in_flight, s.last_answer_was_error) = (false, false);
-        if s.may_have_restarted {
-            s.may_have_restarted = false;
-            s.cold_since = s.cold_since.max(Some(now));
-        }
-        if std::mem::take(&mut s.failures) > 0 {
-            s.suspended_until = now;
-            self.actions.push(Action::Log(format!("server {server} resumed")));
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        (server.probe_in_flight, server.last_answer_was_error) = (false, false);
+        if server.may_have_restarted {
+            server.may_have_restarted = false;
+            server.cold_since = server.cold_since.max(Some(now));
+        }
+        if std::mem::take(&mut server.failures) > 0 {
+            server.suspended_until = now;
+            self.actions.push(Action::Log(format!("server {server_id} resumed")));
         }
     }
 }
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -36,7 +36,7 @@
     assert!(first_setups.len() > 12, "{first_setups:?}");
 }
 
-/// With a bound of the fleet's size, the shares of all fronts stay within the limit while the number of fronts
+/// With a bound of the fleet's size, the shares of all fronts stay within the limit while their number
 /// changes. A front sends nothing without a bound, or if its share is less than one set-up.
 #[test]
 fn fronts_stay_within_a_cold_servers_limit_while_the_size_of_the_fleet_changes() {
@@ -94,8 +94,8 @@
 /// incarnations have just sent.
 #[test]
 fn a_front_that_restarts_repeatedly_sends_a_cold_server_no_more_than_its_share() {
-    // Each front restarts every 400 ms. Two fronts have a share each, three have time slots; a window of one second
-    // holds 2 x 20 / 10 x 0.4 = 1.6, and one more.
+    // Each front restarts every 400 ms. Two fronts have a share each, three have time slots; a window of one
+    // second holds 2 x 20 / 10 x 0.4 = 1.6 set-ups, and one more.
     let max_in_a_window = |fronts: usize, recovered: bool| {
         let mut sent = Vec::new();
         let mut set = settings();
@@ -138,8 +138,8 @@
     }
 }
 
-/// Guards against all fronts going down, a server restarting meanwhile, and all fronts coming back together with
-/// lists that do not show that restart yet: the server was overloaded within 60 ms.
+/// Guards against the overload of a server that restarts while all fronts are down, when they come back
+/// together with lists that do not show that restart yet (it was overloaded within 60 ms).
 #[test]
 fn a_restarted_front_treats_all_servers_as_cold_until_its_list_is_current() {
     let mut set = settings();
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -128,8 +128,8 @@
     policy
 }
 
-/// Makes a request at each of these times (in ms after `START`) and ends each attempt as not sent, so that the
-/// policy sends as many set-ups as it may. Returns the times of the set-ups.
+/// Makes a request at each of these times (in ms after `START`) and ends each attempt as not sent, so that
+/// the policy sends as many set-ups as it may. Returns the times of the set-ups.
 pub fn saturate(policy: &mut SessionPolicy, times: impl Iterator<Item = u64>) -> Vec<u64> {
     let mut sent = Vec::new();
     for k in times {
--- a/crates/decisions/tests/odd.rs
+++ b/crates/decisions/tests/event_orders.rs
@@ -26,7 +26,7 @@
         rng.bool().then_some(RetryBudget { base: 2.0, per_request: 0.2, window: ms(5000) });
     let mut policy = SessionPolicy::new(set.clone(), seed);
     let mut twin = SessionPolicy::new(set.clone(), seed);
-    let (mut now, mut next) = (START, 0u64);
+    let (mut now, mut last_id) = (START, 0u64);
     let mut listed = BTreeMap::new();
     let mut unanswered: BTreeMap<RequestId, SessionRequest> = BTreeMap::new();
     let mut possibly_executed = BTreeSet::new();
@@ -40,30 +40,30 @@
     for _ in 0..400 {
         now += ms(rng.u64(1..400));
         for _ in 0..rng.usize(0..4) {
-            next += 1;
-            let c = SessionRequest {
+            last_id += 1;
+            let new_request = SessionRequest {
                 title: rng.u64(0..3),
                 max_rung: rng.usize(0..5),
                 first_cell: rng.u64(0..4),
                 cell_count: rng.u64(1..5),
-                ..request(next, rng.usize(0..3), now)
+                ..request(last_id, rng.usize(0..3), now)
             };
             request_times.push(now);
-            unanswered.insert(next, c.clone());
-            requests.insert(next, c.clone());
-            events.push(Event::Request(c));
+            unanswered.insert(last_id, new_request.clone());
+            requests.insert(last_id, new_request.clone());
+            events.push(Event::Request(new_request));
         }
         if rng.u8(0..20) == 0 {
             let state =
                 [ServerState::Draining, ServerState::Removed, ServerState::Serving][rng.usize(0..6).min(2)];
-            let started = if rng.bool() { now } else { Duration::ZERO };
-            let e = ListEntry { state, started_at: started, ..entry(rng.u64(0..4)) };
-            listed.insert(e.server, state);
-            events.push(Event::ListUpdate(ListMode::Patch, vec![e]));
+            let started_at = if rng.bool() { now } else { Duration::ZERO };
+            let changed = ListEntry { state, started_at, ..entry(rng.u64(0..4)) };
+            listed.insert(changed.server, state);
+            events.push(Event::ListUpdate(ListMode::Patch, vec![changed]));
         }
-        for (r, s) in in_setup.clone() {
-            let deadline = requests[&r].deadline;
-            let attempt = attempts[&r] - 1;
+        for (id, server) in in_setup.clone() {
+            let deadline = requests[&id].deadline;
+            let attempt = attempts[&id] - 1;
             let outcome = match rng.u8(0..24) {
                 _ if now > deadline => AttemptOutcome::Timeout,
                 0 => AttemptOutcome::Error,
@@ -72,34 +72,34 @@
                 3 => AttemptOutcome::Reset,
                 4 => AttemptOutcome::Timeout,
                 5..=18 => {
-                    in_setup.remove(&r);
-                    unanswered.remove(&r);
-                    playing.insert(r, (s, requests[&r].clone()));
-                    events.push(Event::Playing(r, attempt, s, ms(50)));
+                    in_setup.remove(&id);
+                    unanswered.remove(&id);
+                    playing.insert(id, (server, requests[&id].clone()));
+                    events.push(Event::Playing(id, attempt, server, ms(50)));
                     continue;
                 }
                 _ => continue,
             };
-            in_setup.remove(&r);
+            in_setup.remove(&id);
             if !outcome.never_executed() {
-                possibly_executed.insert(r);
+                possibly_executed.insert(id);
             }
-            let report =
+            let load =
                 LoadReport { link_load: Some(rng.f64() * 2.0), uplink_load: rng.bool().then(|| rng.f64()) };
-            events.push(Event::AttemptEnded(r, attempt, s, outcome, false, report));
+            events.push(Event::AttemptEnded(id, attempt, server, outcome, false, load));
         }
-        for (r, (s, _)) in playing.clone() {
+        for (id, (server, _)) in playing.clone() {
             let report = match rng.u8(0..30) {
                 0 => SessionReport::DeliveredShare(rng.f64()),
                 1 => SessionReport::LinkLoad(rng.f64() * 1.5),
                 2 => SessionReport::UplinkLoad(rng.f64() * 2.0),
                 3 => {
-                    playing.remove(&r);
+                    playing.remove(&id);
                     let outcome = if rng.bool() { AttemptOutcome::Ok } else { AttemptOutcome::Reset };
                     events.push(Event::AttemptEnded(
-                        r,
-                        attempts[&r] - 1,
-                        s,
+                        id,
+                        attempts[&id] - 1,
+                        server,
                         outcome,
                         true,
                         LoadReport::default(),
@@ -108,38 +108,43 @@
                 }
                 _ => continue,
             };
-            events.push(Event::SessionReport(r, s, report));
+            events.push(Event::SessionReport(id, server, report));
         }
         let actions = policy.step(now, &events);
         assert_eq!(actions, twin.step(now, &events), "same events and seed, same actions");
         events.clear();
-        for a in &actions {
-            match a {
-                Action::Send(r, s, within) => {
-                    let c = unanswered.get(r).expect("a set-up was sent for a request that needs no answer");
-                    assert!(!in_setup.contains_key(r), "two attempts of one request are in flight");
-                    assert_eq!(listed[s], ServerState::Serving);
-                    assert!((s + 4 - c.first_cell) % 4 < c.cell_count, "the server does not hold the title");
-                    assert!(*within > Duration::ZERO && now + *within <= c.deadline);
-                    let at_most_once = set.classes[c.class].at_most_once;
+        for action in &actions {
+            match action {
+                Action::Send(id, server, timeout) => {
+                    let sent =
+                        unanswered.get(id).expect("a set-up was sent for a request that needs no answer");
+                    assert!(!in_setup.contains_key(id), "two attempts of one request are in flight");
+                    assert_eq!(listed[server], ServerState::Serving);
                     assert!(
-                        !(at_most_once && possibly_executed.contains(r)),
+                        (server + 4 - sent.first_cell) % 4 < sent.cell_count,
+                        "the server does not hold the title"
+                    );
+                    assert!(*timeout > Duration::ZERO && now + *timeout <= sent.deadline);
+                    let at_most_once = set.classes[sent.class].at_most_once;
+                    assert!(
+                        !(at_most_once && possibly_executed.contains(id)),
                         "an at-most-once set-up that may have been executed was sent again"
                     );
-                    let n = attempts.entry(*r).or_default();
-                    *n += 1;
-                    assert!(*n <= set.limits.max_attempts);
-                    if let (Some(budget), true) = (set.rules.retry_budget, *n > 1) {
+                    let count = attempts.entry(*id).or_default();
+                    *count += 1;
+                    assert!(*count <= set.limits.max_attempts);
+                    if let (Some(budget), true) = (set.rules.retry_budget, *count > 1) {
                         retry_times.push(now);
-                        let recent =
-                            |l: &[Duration]| l.iter().filter(|t| **t + budget.window > now).count() as f64;
+                        let recent = |times: &[Duration]| {
+                            times.iter().filter(|t| **t + budget.window > now).count() as f64
+                        };
                         assert!(
                             recent(&retry_times) <= budget.base + budget.per_request * recent(&request_times)
                         );
                     }
-                    in_setup.insert(*r, *s);
-                    let max_sessions = set.classes[c.class].max_sessions_per_title;
-                    let same = |o: &SessionRequest| o.class == c.class && o.title == c.title;
+                    in_setup.insert(*id, *server);
+                    let max_sessions = set.classes[sent.class].max_sessions_per_title;
+                    let same = |o: &SessionRequest| o.class == sent.class && o.title == sent.title;
                     let held = in_setup.keys().filter(|r| same(&requests[r])).count()
                         + playing.values().filter(|(_, o)| same(o)).count();
                     assert!(
@@ -147,29 +152,29 @@
                         "more sessions of a title than allowed"
                     );
                 }
-                Action::SetRung(r, rung) => {
-                    let c = &requests[r];
-                    let class = &set.classes[c.class];
+                Action::SetRung(id, rung) => {
+                    let limited = &requests[id];
+                    let class = &set.classes[limited.class];
                     assert!(
-                        *rung >= class.min_rung && *rung <= class.max_rung.min(c.max_rung),
+                        *rung >= class.min_rung && *rung <= class.max_rung.min(limited.max_rung),
                         "the rung is outside the limits of viewer and class"
                     );
                 }
-                Action::Refuse(r, _) => {
-                    let c = unanswered.remove(r).expect("a request was answered twice");
-                    assert!(!in_setup.contains_key(r));
-                    assert!(!(set.classes[c.class].at_most_once && possibly_executed.contains(r)));
+                Action::Refuse(id, _) => {
+                    let refused = unanswered.remove(id).expect("a request was answered twice");
+                    assert!(!in_setup.contains_key(id));
+                    assert!(!(set.classes[refused.class].at_most_once && possibly_executed.contains(id)));
                 }
-                Action::Fail(r) => {
-                    unanswered.remove(r).expect("a request was answered twice");
-                    assert!(!in_setup.contains_key(r));
+                Action::Fail(id) => {
+                    unanswered.remove(id).expect("a request was answered twice");
+                    assert!(!in_setup.contains_key(id));
                 }
                 _ => {}
             }
         }
         // A request without an attempt in flight has its answer.
         assert!(
-            unanswered.keys().all(|r| in_setup.contains_key(r)),
+            unanswered.keys().all(|id| in_setup.contains_key(id)),
             "a request has neither an answer nor an attempt in flight"
         );
     }
--- a/crates/decisions/tests/ledger.rs
+++ b/crates/decisions/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: choice of rungs, load readings, short delivery and rushes of requests.
+//! The ledger: choice of rungs, load readings and rushes of requests.
 
 mod common;
 
@@ -73,7 +73,7 @@
 fn a_load_reading_is_compared_with_the_demand_at_the_time_it_refers_to() {
     let mut policy = policy_with_servers(settings(), 1);
     let server = start_session(&mut policy, 1, 1, START);
-    // After a second session has started, a reading of a second ago arrives (0.25: the first session alone).
+    // After a second session has started, a reading of a second ago arrives (0.25: the first session).
     let t = START + ms(5000);
     start_session(&mut policy, 2, 1, t);
     let t = t + ms(600);
@@ -115,7 +115,7 @@
     let only = SessionRequest { first_cell: 3, cell_count: 1, ..request(9, 1, t) };
     let actions = policy.step(t + ms(10), &[Event::Request(only)]);
     assert_eq!(actions, [Action::Refuse(9, ms(800))]);
-    // If they read empty, it is assumed to be emptier (the assumed demand of other fronts counts as one reading).
+    // If they read empty, it is assumed to be emptier (the demand assumed for other fronts is a reading).
     let t = START + ms(20_000);
     policy.step(
         t,
@@ -146,8 +146,8 @@
     assert!(refused(100) >= 4, "a hundred fronts with eight requests each have too little room");
 }
 
-/// Guards against one session of this front counting as a hundred in a fleet of a hundred fronts, so that none is
-/// raised.
+/// Guards against one session of this front counting as a hundred in a fleet of a hundred fronts, so that
+/// none is raised.
 #[test]
 fn a_hundred_fronts_raise_as_many_adopted_sessions_as_have_room() {
     let raised = |reading: f64| {
--- a/crates/decisions/tests/peers.rs
+++ b/crates/decisions/tests/peers.rs
@@ -95,8 +95,8 @@
     assert_eq!(policy.server_count(), 1, "only the new server is left");
 }
 
-/// Guards against a client whose set-ups no server can serve, by which all servers are suspended one after the
-/// other.
+/// Guards against a client whose set-ups no server can serve and which gets all servers suspended one after
+/// the other.
 #[test]
 fn a_set_up_that_no_server_can_serve_suspends_no_server() {
     let mut policy = SessionPolicy::new(settings(), 3);
--- a/crates/decisions/tests/ramp.rs
+++ b/crates/decisions/tests/ramp.rs
@@ -13,8 +13,8 @@
         cases: 24, failure_persistence: None, rng_seed: RngSeed::Fixed(4), ..ProptestConfig::default()
     })]
 
-    /// The limit holds for any size of fleet and server, any margin, and any delay of set-ups, since time slots are not
-    /// drawn at random. The server also gets set-ups.
+    /// The limit holds for any size of fleet and server, any margin, and any delay of set-ups, since time
+    /// slots are not drawn at random. The server also gets set-ups.
     #[test]
     fn windows_stay_within_the_limit(
         fronts in prop_oneof![2usize..12, 12usize..60, 60usize..=300],
@@ -33,7 +33,11 @@
             arrivals.extend(sent.iter().map(|t| t + delays[(front + *t as usize) % delays.len()]));
         }
         let limit = overload_limit(&set);
-        prop_assert!(max_per_window(arrivals.clone()) as f64 <= limit, "{} in a window of {limit}", max_per_window(arrivals));
+        prop_assert!(
+            max_per_window(arrivals.clone()) as f64 <= limit,
+            "{} in a window of {limit}",
+            max_per_window(arrivals)
+        );
         prop_assert!(limit < 1.0 || fronts > 60 || !arrivals.is_empty(), "the server gets no set-ups");
     }
 }
@@ -43,8 +47,8 @@
         cases: 24, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default()
     })]
 
-    /// The platform's limit, N + 2 x root of N + 2, holds while each front learns of the server's start at another time,
-    /// while fronts restart at any time, and while set-ups are delayed.
+    /// The platform's limit, N + 2 x root of N + 2, holds while each front learns of the server's start at
+    /// another time, while fronts restart at any time, and while set-ups are delayed.
     #[test]
     fn windows_stay_within_the_limit_while_fronts_restart_and_lists_are_late(
         fronts in prop_oneof![2usize..20, 20usize..=30, 60usize..=300],
@@ -62,28 +66,36 @@
             let start = |at: u64| {
                 let mut policy = SessionPolicy::new(Settings { front_index: Some(front), ..set.clone() }, at);
                 let last_setup_age = Some(Duration::ZERO);
-                let history = RecoveredHistory { complete_for: Duration::MAX, last_setup_age, ..RecoveredHistory::default() };
+                let history = RecoveredHistory {
+                    complete_for: Duration::MAX,
+                    last_setup_age,
+                    ..RecoveredHistory::default()
+                };
                 policy.step(START + ms(at), &[Event::RecoveredHistory(history)]);
                 policy
             };
             let mut policy = start(0);
             let mut listed = false;
             for i in 0..64 {
-                let k = 125 * i + (front as u64 * 37 + i * 11) % 125;
-                if k > killed_at {
+                let time = 125 * i + (front as u64 * 37 + i * 11) % 125;
+                if time > killed_at {
                     killed_at += 150 + incarnations[(front + i as usize) % incarnations.len()].1;
-                    (policy, listed) = (start(k), false);
+                    (policy, listed) = (start(time), false);
                 }
-                if k >= listed_at && !std::mem::replace(&mut listed, true) {
+                if time >= listed_at && !std::mem::replace(&mut listed, true) {
                     let cold = ListEntry { started_at: START, shared_key: 7919, ..entry(1) };
-                    policy.step(START + ms(k), &[Event::ListUpdate(ListMode::Stale, vec![cold])]);
+                    policy.step(START + ms(time), &[Event::ListUpdate(ListMode::Stale, vec![cold])]);
                 }
-                let sent = saturate(&mut policy, std::iter::once(k));
+                let sent = saturate(&mut policy, std::iter::once(time));
                 arrivals.extend(sent.iter().map(|t| t + delays[(front + *t as usize) % delays.len()]));
             }
         }
         let limit = n + 2.0 * n.sqrt() + 2.0;
-        prop_assert!(max_per_window(arrivals.clone()) as f64 <= limit, "{} in a window of {limit}", max_per_window(arrivals));
+        prop_assert!(
+            max_per_window(arrivals.clone()) as f64 <= limit,
+            "{} in a window of {limit}",
+            max_per_window(arrivals)
+        );
         prop_assert!(fronts > 60 || !arrivals.is_empty(), "the server gets no set-ups");
     }
 }
--- a/crates/decisions/tests/short_delivery.rs
+++ b/crates/decisions/tests/short_delivery.rs
@@ -5,28 +5,28 @@
 use cloverhollow::*;
 use common::*;
 
-/// Guards against impaired servers that make their whole racks look full, so that requests are refused by half
-/// the fleet.
+/// Guards against impaired servers that make their whole racks look full, so that half the fleet refuses
+/// requests.
 #[test]
 fn a_single_short_server_does_not_mark_its_rack_as_full() {
     let mut policy = policy_with_servers(settings(), 4);
-    let a = start_session(&mut policy, 1, 1, START);
+    let short_server = start_session(&mut policy, 1, 1, START);
     let at_cell = |r, cell| SessionRequest { first_cell: cell, cell_count: 1, ..request(r, 1, START) };
-    let neighbour = (a + 2) % 4;
+    let neighbour = (short_server + 2) % 4;
     policy.step(START + ms(200), &[Event::Request(at_cell(2, neighbour))]);
     policy.step(START + ms(300), &[Event::Playing(2, 0, neighbour, ms(100))]);
     for k in 0..4 {
         policy.step(
             START + ms(3000 + 1000 * k),
-            &[Event::SessionReport(1, a, SessionReport::DeliveredShare(0.5))],
+            &[Event::SessionReport(1, short_server, SessionReport::DeliveredShare(0.5))],
         );
     }
     let t = START + ms(6100);
     let actions =
         policy.step(t, &[Event::Request(SessionRequest { deadline: t + ms(3000), ..at_cell(3, neighbour) })]);
     assert_eq!(setups(&actions), [(3, neighbour)]);
-    let actions =
-        policy.step(t, &[Event::Request(SessionRequest { deadline: t + ms(3000), ..at_cell(4, a) })]);
+    let actions = policy
+        .step(t, &[Event::Request(SessionRequest { deadline: t + ms(3000), ..at_cell(4, short_server) })]);
     assert!(setups(&actions).is_empty(), "the short server itself counts as full");
 }
 
@@ -50,8 +50,7 @@
     assert!(steps[1] - steps[0] >= ms(30_000));
 }
 
-/// Guards against links that stay empty for 20 s after a sag of 6 s because the report of short delivery only
-/// fades.
+/// Guards against links that stay empty for 20 s after 6 s of short delivery because its report only fades.
 #[test]
 fn a_load_reading_one_round_after_the_last_short_delivery_makes_the_link_available_again() {
     let mut policy = policy_with_servers(settings(), 1);
@@ -66,22 +65,22 @@
     assert_eq!(actions[0], Action::SetRung(3, 2));
 }
 
-/// Guards against a rack that is overfilled again and again because its uplink has less than the configured mean
-/// capacity.
+/// Guards against a rack that is overfilled again and again because its uplink has less capacity than the
+/// configured mean.
 #[test]
 fn the_capacity_of_an_uplink_without_readings_follows_from_demand_and_delivered_share() {
     let mut policy = policy_with_servers(settings(), 4);
-    let at = |r, cell, t| SessionRequest {
+    let at_cell = |id, cell, now| SessionRequest {
         first_cell: cell,
         cell_count: 1,
-        deadline: t + ms(3000),
-        ..request(r, 1, START)
+        deadline: now + ms(3000),
+        ..request(id, 1, START)
     };
     for (r, cell) in [(1, 0), (2, 2)] {
-        policy.step(START, &[Event::Request(at(r, cell, START))]);
+        policy.step(START, &[Event::Request(at_cell(r, cell, START))]);
         policy.step(START + ms(100), &[Event::Playing(r, 0, cell, ms(100))]);
     }
-    // Both servers of the rack demand 0.5 of links of 4000 and get 0.75 of that: the uplink has 3000, not 6000.
+    // Both servers of the rack demand 0.5 of links of 4000 and get 0.75 of that: the uplink has 3000.
     for (k, share) in [(0, 0.75), (1, 0.75), (2, 0.99)] {
         let t = START + ms(3000 + 1000 * k);
         let sessions = [(1, 0), (2, 2)];
@@ -98,7 +97,7 @@
         Event::SessionReport(2, 2, SessionReport::LinkLoad(0.35)),
     ];
     let mut events = events.to_vec();
-    events.push(Event::Request(at(9, 0, t)));
+    events.push(Event::Request(at_cell(9, 0, t)));
     let actions = policy.step(t, &events);
     assert!(!actions.iter().any(|a| matches!(a, Action::SetRung(9, r) if *r > 0)), "{actions:?}");
 }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,3 +1,3 @@
-//! The bench's adapter: translation between the drill's wire and the decision module's interface.
+//! Adapter between the bench's wire protocol and the interface of the decision module.
 
 pub mod wire;
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -1,4 +1,4 @@
-//! The drill's wire: JSON lines in, JSON lines out. Translation only; nothing is decided here.
+//! Wire protocol of the bench: translation of JSON lines to events and of actions to JSON lines.
 
 use cloverhollow::*;
 use cloverhollow_platform::settings::{self, duration_from_ms, index_of, whole_number, Names};
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is wrong with a line.
-pub type Fault = String;
+/// Description of what is wrong with a line.
+pub type WireError = String;
 
 fn millis(d: Duration) -> f64 {
     d.as_micros() as f64 / 1e3
 }
 
-fn parse<T: DeserializeOwned>(value: Value) -> Result<T, Fault> {
+fn parse<T: DeserializeOwned>(value: Value) -> Result<T, WireError> {
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
@@ -54,9 +54,10 @@
     repeat: bool,
 }
 
+/// Fields of the messages on a session: `head-received`, `note` and `attempt-end`.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct WireTold {
+struct WireSessionEvent {
     #[serde(rename = "ref")]
     request: u64,
     #[serde(default)]
@@ -76,56 +77,58 @@
     gauge: BTreeMap<String, f64>,
 }
 
-/// The fields of one message, its name taken out.
+/// A message of the protocol, not yet decoded.
 pub struct Message {
-    /// The name of the message.
+    /// Name of the message.
     pub verb: String,
-    /// Its other fields.
+    /// All fields except the name.
     pub fields: Map<String, Value>,
 }
 
-/// Reads one line as a message.
-pub fn message(line: &str) -> Result<Message, Fault> {
+/// Parses one line as a message.
+pub fn parse_message(line: &str) -> Result<Message, WireError> {
     let value: Value = serde_json::from_str(line).map_err(|e| e.to_string())?;
     let Value::Object(mut fields) = value else { return Err("not an object".into()) };
     match fields.remove("verb") {
         Some(Value::String(verb)) => Ok(Message { verb, fields }),
-        _ => Err("no key `verb` with a text".into()),
+        _ => Err("no string field `verb`".into()),
     }
 }
 
 impl Message {
-    /// Takes a field out; it must be there.
-    pub fn take<T: DeserializeOwned>(&mut self, key: &str) -> Result<T, Fault> {
+    /// Removes a required field and returns its value.
+    pub fn take<T: DeserializeOwned>(&mut self, key: &str) -> Result<T, WireError> {
         let value = self.fields.remove(key).ok_or_else(|| format!("{}: no `{key}`", self.verb))?;
         serde_json::from_value(value).map_err(|e| format!("{}: `{key}`: {e}", self.verb))
     }
 
-    fn body<T: DeserializeOwned>(self) -> Result<T, Fault> {
+    /// Decodes the remaining fields.
+    fn body<T: DeserializeOwned>(self) -> Result<T, WireError> {
         let verb = self.verb;
         parse(Value::Object(self.fields)).map_err(|e| format!("{verb}: {e}"))
     }
 }
 
-/// The clock of a `begin-batch`.
-pub fn clock(mut m: Message) -> Result<Duration, Fault> {
-    Ok(duration_from_ms(m.take("clock")?))
+/// Decodes a `begin-batch` message; returns its time.
+pub fn begin_batch(mut message: Message) -> Result<Duration, WireError> {
+    Ok(duration_from_ms(message.take("clock")?))
 }
 
-/// The seed and settings of a `power-on`.
-pub fn power_on(mut m: Message) -> Result<(u64, Settings, Names), Fault> {
-    let seed = m.take("prng")?;
-    let site = settings::read(m.take("setup")?).map_err(|e| format!("power-on: {e}"))?;
+/// Decodes a `power-on` message; returns the seed, the settings, and the names for which indices stand.
+pub fn power_on(mut message: Message) -> Result<(u64, Settings, Names), WireError> {
+    let seed = message.take("prng")?;
+    let site = settings::read(message.take("setup")?).map_err(|e| format!("power-on: {e}"))?;
     Ok((seed, site.settings, site.names))
 }
 
-/// The number and raw entries of a `pool`; entries are read per instance by [`entries`].
-pub fn pool(mut m: Message) -> Result<(u64, Value), Fault> {
-    Ok((m.take("page")?, m.take("hosts")?))
+/// Decodes a `pool` message; returns its number and its undecoded entries. [`entries`] decodes them with the
+/// names of an instance.
+pub fn pool(mut message: Message) -> Result<(u64, Value), WireError> {
+    Ok((message.take("page")?, message.take("hosts")?))
 }
 
-/// The entries of a pool under an instance's names.
-pub fn entries(hosts: &Value, names: &Names) -> Result<Vec<ListEntry>, Fault> {
+/// Decodes the entries of a pool, with the names of an instance's settings.
+pub fn entries(hosts: &Value, names: &Names) -> Result<Vec<ListEntry>, WireError> {
     let list: Vec<WireEntry> = parse(hosts.clone()).map_err(|e| format!("pool: {e}"))?;
     let state = |mode: &str| match mode {
         "SERVING" => Ok(ServerState::Serving),
@@ -149,59 +152,60 @@
         .collect()
 }
 
-/// The mode and pool number of a `membership`.
-pub fn membership(mut m: Message) -> Result<(ListMode, Option<u64>), Fault> {
-    let mode = match m.take::<String>("mode")?.as_str() {
+/// Decodes a `membership` message; returns the kind of update and the number of the pool, if it has one.
+pub fn membership(mut message: Message) -> Result<(ListMode, Option<u64>), WireError> {
+    let mode = match message.take::<String>("mode")?.as_str() {
         "patch" => ListMode::Patch,
         "whole" => ListMode::Full,
         "stale_copy" => ListMode::Stale,
         "broken" => return Ok((ListMode::Failed, None)),
         other => return Err(format!("membership: unknown mode `{other}`")),
     };
-    Ok((mode, Some(m.take("page")?)))
+    Ok((mode, Some(message.take("page")?)))
 }
 
-fn call(w: WireCall, names: &Names) -> Result<SessionRequest, Fault> {
-    let class = index_of(&names.classes, &w.class).ok_or_else(|| format!("unknown class `{}`", w.class))?;
+fn session_request(call: WireCall, names: &Names) -> Result<SessionRequest, WireError> {
+    let class =
+        index_of(&names.classes, &call.class).ok_or_else(|| format!("unknown class `{}`", call.class))?;
     Ok(SessionRequest {
-        id: w.request,
-        title: w.programme,
+        id: call.request,
+        title: call.programme,
         class,
-        tenant: w.project.as_ref().and_then(Value::as_str).and_then(|p| index_of(&names.tenants, p)),
-        max_rung: w.top_rung.map_or(usize::MAX, whole_number),
-        first_cell: whole_number(w.from_cell) as u64,
-        cell_count: whole_number(w.cells_in_row) as u64,
-        deadline: duration_from_ms(w.valid_until),
-        is_repeat: w.came_back || w.repeat,
+        tenant: call.project.as_ref().and_then(Value::as_str).and_then(|p| index_of(&names.tenants, p)),
+        max_rung: call.top_rung.map_or(usize::MAX, whole_number),
+        first_cell: whole_number(call.from_cell) as u64,
+        cell_count: whole_number(call.cells_in_row) as u64,
+        deadline: duration_from_ms(call.valid_until),
+        is_repeat: call.came_back || call.repeat,
     })
 }
 
-/// An event of one instance; `None` for one that the module has no use for.
-pub fn event(mut m: Message, names: &Names) -> Result<Option<Event>, Fault> {
-    Ok(Some(match m.verb.as_str() {
-        "call" => Event::Request(call(m.body()?, names)?),
+/// Decodes an event of one instance; returns `None` if the decision module does not use it.
+pub fn event(mut message: Message, names: &Names) -> Result<Option<Event>, WireError> {
+    Ok(Some(match message.verb.as_str() {
+        "call" => Event::Request(session_request(message.body()?, names)?),
         "adopted" => {
-            let server = m.take("server")?;
-            Event::Adopted(call(m.body()?, names)?, server)
+            let server = message.take("server")?;
+            Event::Adopted(session_request(message.body()?, names)?, server)
         }
         "head-received" => {
-            let t: WireTold = m.body()?;
-            Event::Playing(t.request, t.hop, t.server, duration_from_ms(t.cost_time))
+            let body: WireSessionEvent = message.body()?;
+            Event::Playing(body.request, body.hop, body.server, duration_from_ms(body.cost_time))
         }
         "note" => {
-            let t: WireTold = m.body()?;
-            let note = match t.kind {
-                1 => SessionReport::DeliveredShare(t.level),
-                2 => SessionReport::Rung(whole_number(t.level)),
-                3 => SessionReport::LinkLoad(t.level),
-                4 => SessionReport::UplinkLoad(t.level),
+            let body: WireSessionEvent = message.body()?;
+            let report = match body.kind {
+                1 => SessionReport::DeliveredShare(body.level),
+                2 => SessionReport::Rung(whole_number(body.level)),
+                3 => SessionReport::LinkLoad(body.level),
+                4 => SessionReport::UplinkLoad(body.level),
                 _ => return Ok(None),
             };
-            Event::SessionReport(t.request, t.server, note)
+            Event::SessionReport(body.request, body.server, report)
         }
         "attempt-end" => {
-            let t: WireTold = m.body()?;
-            let outcome = match t.how.as_str() {
+            let body: WireSessionEvent = message.body()?;
+            let outcome = match body.how.as_str() {
                 "ok" => AttemptOutcome::Ok,
                 "error" => AttemptOutcome::Error,
                 "full" => AttemptOutcome::Full,
@@ -212,29 +216,32 @@
                 "moot" => AttemptOutcome::NotSent,
                 other => return Err(format!("attempt-end: unknown outcome `{other}`")),
             };
-            let told = |name: &str| t.gauge.get(name).copied();
-            let report = LoadReport { link_load: told("x0").or(told("load_share")), uplink_load: told("x1") };
-            Event::AttemptEnded(t.request, t.hop, t.server, outcome, t.complete, report)
+            let reading = |name: &str| body.gauge.get(name).copied();
+            let load =
+                LoadReport { link_load: reading("x0").or(reading("load_share")), uplink_load: reading("x1") };
+            Event::AttemptEnded(body.request, body.hop, body.server, outcome, body.complete, load)
         }
-        "cancelled-by-client" => Event::ViewerLeft(m.take("ref")?),
-        "ring" => Event::Timer(m.take("token")?),
+        "cancelled-by-client" => Event::ViewerLeft(message.take("ref")?),
+        "ring" => Event::Timer(message.take("token")?),
         "health" | "datagram" => return Ok(None),
         other => return Err(format!("unknown verb `{other}`")),
     }))
 }
 
-/// An action as a line of the wire.
-pub fn action(instance: &str, action: &Action) -> String {
+/// Encodes an action of an instance as a line.
+pub fn encode_action(instance: &str, action: &Action) -> String {
     let mut value = match action {
-        Action::Send(r, s, within) => {
-            json!({"verb": "pass-on", "ref": r, "server": s, "within": millis(*within)})
+        Action::Send(request, server, timeout) => {
+            json!({"verb": "pass-on", "ref": request, "server": server, "within": millis(*timeout)})
         }
-        Action::SetRung(r, rung) => json!({"verb": "step-to", "ref": r, "tier-no": rung}),
-        Action::Refuse(r, after) => json!({"verb": "refuse", "ref": r, "hold-off": millis(*after)}),
-        Action::Fail(r) => json!({"verb": "finish-error", "ref": r}),
+        Action::SetRung(request, rung) => json!({"verb": "step-to", "ref": request, "tier-no": rung}),
+        Action::Refuse(request, retry_after) => {
+            json!({"verb": "refuse", "ref": request, "hold-off": millis(*retry_after)})
+        }
+        Action::Fail(request) => json!({"verb": "finish-error", "ref": request}),
         Action::SetTimer(after, token) => json!({"verb": "arm", "sleep-for": millis(*after), "token": token}),
         Action::Subscribe => json!({"verb": "listen", "enable": true}),
-        Action::Log(words) => json!({"verb": "trace", "words": words}),
+        Action::Log(line) => json!({"verb": "trace", "words": line}),
     };
     value["manager-id"] = instance.into();
     value.to_string()
--- a/crates/drill/tests/drill.rs
+++ b/crates/drill/tests/drill.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: golden batches, and what malformed input gets.
+//! The adapter as a process: replies to batches, and errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,10 +9,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
-    // A drill that has ended on a fault no longer reads.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("ends")
+        .expect("the process starts");
+    // A process that has ended on an error no longer reads.
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
+    child.wait_with_output().expect("the process ends")
 }
 
 const BEGIN: &str = r#"{"verb":"begin-batch","clock":1000.5}"#;
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn golden_batches() {
+fn batches_are_answered_with_the_expected_lines() {
     let full = r#"{"verb":"attempt-end","manager-id":"manager_3","ref":42,"hop":0,"server":5,"how":"full","cost-time":1.0,"gauge":{"x0":1.4,"concurrent":3}}"#;
     let input = batch(&[]) + &batch(&[ON, POOL, LIST, CALL]) + &batch(&[full]) + &batch(&[]);
     let out = drill(&input);
-    let want = [
+    let expected = [
         r#"{"verb":"ok"}"#,
         r#"{"manager-id":"manager_3","ref":42,"tier-no":1,"verb":"step-to"}"#,
         r#"{"manager-id":"manager_3","ref":42,"server":5,"verb":"pass-on","within":500.0}"#,
@@ -49,12 +49,12 @@
         r#"{"verb":"ok"}"#,
         r#"{"verb":"ok"}"#,
     ];
-    assert_eq!(String::from_utf8_lossy(&out.stdout).lines().collect::<Vec<_>>(), want);
+    assert_eq!(String::from_utf8_lossy(&out.stdout).lines().collect::<Vec<_>>(), expected);
     assert!(out.status.success());
 }
 
 #[test]
-fn a_killed_instance_is_forgotten_and_may_start_again() {
+fn a_killed_instance_loses_its_state_and_can_be_started_again() {
     let kill = r#"{"verb":"kill","manager-id":"manager_3"}"#;
     let out = drill(&batch(&[ON, POOL, LIST, CALL, kill, ON, LIST, CALL]));
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_a_plain_message_naming_line_and_cause() {
+fn malformed_input_ends_the_process_with_an_error_naming_line_and_cause() {
     let cases = [
         (batch(&["{nonsense"]), "line 2:", "key must be a string"),
         (batch(&["[1]"]), "line 2:", "not an object"),
@@ -77,9 +77,9 @@
     ];
     for (input, line, cause) in cases {
         let out = drill(&input);
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
+        let error = String::from_utf8_lossy(&out.stderr).into_owned();
         assert!(!out.status.success(), "{input}");
-        assert!(said.contains(line) && said.contains(cause) && !said.contains("panicked"), "{said}");
-        assert!(out.stdout.is_empty(), "half a reply was written");
+        assert!(error.contains(line) && error.contains(cause) && !error.contains("panicked"), "{error}");
+        assert!(out.stdout.is_empty(), "a partial reply was written");
     }
 }
