--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -1,28 +1,34 @@
-//! Viewers' connections are taken, or turned away.
+//! Accept loop of the viewers' listener, with its connection limit.
 
-use crate::{side, viewer, Shared};
+use crate::{side_endpoint, viewer, Shared};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// Most connections past the cap that are being told so at a time.
-const TURNED_AWAY: usize = 256;
+/// Maximum number of connections over the limit that are being answered with 503 at the same time.
+const MAX_REJECTIONS: usize = 256;
 
-/// Takes connections, `listen.connections` at a time; one past them gets 503 at once.
-/// While the front is closed after deaths, each gets 503 with when to come back.
-pub(crate) async fn accept(listener: TcpListener, shared: Arc<Shared>, state: Arc<side::State>) {
-    let room = Arc::new(Semaphore::new(shared.settings.listen.connections.count()));
-    let turning = Arc::new(Semaphore::new(TURNED_AWAY));
-    // Dropped with this future, and the connections' tasks with it.
+/// Accepts viewers' connections and serves up to `listen.connections` of them; further ones get 503.
+///
+/// While the front is closed after repeated crashes, or superseded by a newer process of its name, every
+/// connection gets 503 with `Retry-After`.
+pub(crate) async fn accept(
+    listener: TcpListener,
+    shared: Arc<Shared>,
+    status: Arc<side_endpoint::FrontStatus>,
+) {
+    let connection_slots = Arc::new(Semaphore::new(shared.settings.listen.connections.count()));
+    let rejection_slots = Arc::new(Semaphore::new(MAX_REJECTIONS));
+    // Dropping this future drops the set, which aborts the connections' tasks.
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    // Out of file descriptors, most likely: others must end first.
-                    tracing::warn!(error = %e, "cannot accept");
+                    // Usually out of file descriptors: other connections must close first.
+                    tracing::warn!(error = %e, "cannot accept a connection");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     continue;
                 }
@@ -30,28 +36,28 @@
             Some(_) = connections.join_next() => continue,
         };
         let _ = stream.set_nodelay(true);
-        let closed = state.closed_for(shared.clock.now());
-        let stepped_back = state.stepped_back().is_some();
-        let (after, reason) = match (stepped_back, closed.is_zero()) {
+        let time_until_open = status.time_until_open(shared.clock.now());
+        let superseded = status.superseded_by().is_some();
+        let (retry_after, reason) = match (superseded, time_until_open.is_zero()) {
             (true, _) => (Duration::from_secs(1), "two-lives"),
             (_, true) => (Duration::from_secs(1), "front-full"),
-            (_, false) => (closed, "backing-off"),
+            (_, false) => (time_until_open, "backing-off"),
         };
-        match room.clone().try_acquire_owned() {
-            Ok(permit) if closed.is_zero() && !stepped_back => {
+        match connection_slots.clone().try_acquire_owned() {
+            Ok(slot) if time_until_open.is_zero() && !superseded => {
                 let shared = shared.clone();
                 connections.spawn(async move {
                     viewer::serve(stream, shared).await;
-                    drop(permit);
+                    drop(slot);
                 });
             }
-            // Past that bound too, it is just closed.
+            // Over the second limit as well, the connection is closed without a response.
             _ => {
-                if let Ok(permit) = turning.clone().try_acquire_owned() {
+                if let Ok(slot) = rejection_slots.clone().try_acquire_owned() {
                     let shared = shared.clone();
                     connections.spawn(async move {
-                        viewer::turn_away(stream, after, reason, &shared).await;
-                        drop(permit);
+                        viewer::reject(stream, retry_after, reason, &shared).await;
+                        drop(slot);
                     });
                 }
             }
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -1,12 +1,12 @@
-//! One attempt at setting a session up: connect, send, wait for the answer's head.
+//! One set-up attempt at a server: connect, send the request, wait for the head of the response.
 //!
-//! Whether its first byte has gone out is settled by one atomic step, which either the attempt or its recall
-//! takes: there is no instant at which both believe to have been first.
+//! A single atomic decision settles whether the first byte is sent or the attempt is cancelled, so sender and
+//! canceller can never both succeed.
 
-use crate::desk::Mail;
-use crate::journal::Ticket;
-use crate::pool::LeaseError;
-use crate::upstream::{self, Ask, SetupAnswer};
+use crate::connection_pool::AcquireError;
+use crate::event_loop::LoopEvent;
+use crate::upstream::{self, SetupResponse, ViewerRequest};
+use crate::write_ahead_log::WriteReceipt;
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_net::SendDecision;
@@ -14,74 +14,88 @@
 use std::sync::Arc;
 use tokio::task::AbortHandle;
 
-/// The desk's hold on an attempt that is out. Dropping it ends the attempt and closes its connection.
-pub(crate) struct Held {
-    gate: Arc<SendDecision>,
+/// Handle of an attempt in flight, held by the event loop. Dropping it aborts the attempt and closes its
+/// connection.
+pub(crate) struct AttemptHandle {
+    send_decision: Arc<SendDecision>,
     task: AbortHandle,
 }
 
-impl Held {
-    /// Whether its first byte had not gone out, and now never will.
-    pub(crate) fn recall(&self) -> bool {
-        self.gate.try_cancel()
+impl AttemptHandle {
+    /// Cancels the attempt. Returns true if its first byte was not sent, and now never will be.
+    pub(crate) fn cancel(&self) -> bool {
+        self.send_decision.try_cancel()
     }
 }
 
-impl Drop for Held {
+impl Drop for AttemptHandle {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Sends a set-up in a task of its own, which mails its end to the desk. No time-out here: the desk recalls.
-/// `ticket`: what must be taken down before its first byte may go out.
-pub(crate) fn spawn(setup: Setup<Arc<Ask>>, ticket: Ticket, shared: Arc<Shared>) -> Held {
-    let gate = Arc::new(SendDecision::default());
-    let own = gate.clone();
+/// Sends a set-up in its own task, which reports the end of the attempt to the event loop.
+///
+/// The task has no time-out: the event loop cancels it. `receipt` confirms the log record that must be
+/// persisted before the first byte is sent.
+pub(crate) fn spawn(
+    setup: Setup<Arc<ViewerRequest>>,
+    receipt: WriteReceipt,
+    shared: Arc<Shared>,
+) -> AttemptHandle {
+    let send_decision = Arc::new(SendDecision::default());
+    let task_decision = send_decision.clone();
     let task = tokio::spawn(async move {
-        // `None`: it was recalled, and the desk knows.
-        if let Some(input) = run(&setup, ticket, &shared, &own).await {
-            let _ = shared.desk.send(Mail::of(input)).await;
+        // `None`: the attempt was cancelled by the event loop, which needs no report.
+        if let Some(input) = run(&setup, receipt, &shared, &task_decision).await {
+            let _ = shared.event_tx.send(LoopEvent::from_input(input)).await;
         }
     });
-    Held { gate, task: task.abort_handle() }
+    AttemptHandle { send_decision, task: task.abort_handle() }
 }
 
 async fn run(
-    setup: &Setup<Arc<Ask>>,
-    ticket: Ticket,
+    setup: &Setup<Arc<ViewerRequest>>,
+    receipt: WriteReceipt,
     shared: &Shared,
-    gate: &SendDecision,
-) -> Option<Input<Arc<Ask>, SetupAnswer>> {
+    send_decision: &SendDecision,
+) -> Option<Input<Arc<ViewerRequest>, SetupResponse>> {
     let attempt = setup.attempt;
     let ended = |end| Some(Input::AttemptEnded { attempt, end, load: Load::default() });
-    // A connection of its own: on a used one, a close that is under way would leave it open whether the
-    // set-up ran, and a paid one could not be sent again.
-    let mut lease = match shared.pools.lease(setup.server, setup.address, true).await {
-        Ok(lease) => lease,
-        Err(LeaseError::Busy | LeaseError::NotConnected(_)) => return ended(AttemptEnd::NotConnected),
+    // Uses a new connection. On a reused one, a close by the server that crosses the request leaves it
+    // unknown whether the set-up was executed, and a paid set-up could then not be retried.
+    let mut connection = match shared.pools.acquire(setup.server, setup.address, true).await {
+        Ok(connection) => connection,
+        Err(AcquireError::PoolExhausted | AcquireError::ConnectFailed(_)) => {
+            return ended(AttemptEnd::NotConnected)
+        }
     };
-    // Guards a front that is killed between the decision and the first byte: its next life knows (rules 2, 6).
-    if !ticket.granted().await {
+    // Guards against a front that is killed between the decision and the first byte: its next incarnation
+    // finds the record (rules 2 and 6).
+    if !receipt.is_confirmed().await {
         return ended(AttemptEnd::NotPersisted);
     }
-    // Guards one that stood still in between: what it decided by is old.
+    // Guards against a process that was suspended in between: its decision rests on outdated data.
     if shared.clock.now() > setup.send_deadline {
-        tracing::info!(session = %setup.sid, %attempt, server = setup.server, "decided too long ago, not sent");
+        tracing::info!(session = %setup.sid, %attempt, server = setup.server, "set-up not sent: the decision is past its send deadline");
         return ended(AttemptEnd::NeverSent);
     }
-    if !gate.try_send() {
+    if !send_decision.try_send() {
         return None;
     }
-    let head = upstream::setup_head(setup, shared);
-    if lease.conn().send_request(head, Bytes::new()).await.is_err() {
+    let head = upstream::setup_request(setup, shared);
+    if connection.client().send_request(head, Bytes::new()).await.is_err() {
         return ended(AttemptEnd::Reset);
     }
-    let Ok(head) = lease.conn().read_head().await else { return ended(AttemptEnd::Reset) };
-    let told = upstream::told(&head, setup.kbps);
+    let Ok(head) = connection.client().read_head().await else { return ended(AttemptEnd::Reset) };
+    let hints = upstream::response_hints(&head, setup.kbps);
     match head.status {
-        200..=299 => Some(Input::Playing { attempt, load: told.load, response: SetupAnswer { head, lease } }),
-        503 if told.unrun => Some(Input::AttemptEnded { attempt, end: AttemptEnd::Full, load: told.load }),
-        status => Some(Input::AttemptEnded { attempt, end: AttemptEnd::Error { status }, load: told.load }),
+        200..=299 => {
+            Some(Input::Playing { attempt, load: hints.load, response: SetupResponse { head, connection } })
+        }
+        503 if hints.not_executed => {
+            Some(Input::AttemptEnded { attempt, end: AttemptEnd::Full, load: hints.load })
+        }
+        status => Some(Input::AttemptEnded { attempt, end: AttemptEnd::Error { status }, load: hints.load }),
     }
 }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,16 +1,19 @@
-//! Instants as later lives of a front can read them.
+//! Timestamps and boot identity that a later incarnation of the front can interpret.
 
 use cloverhollow_net::{time_since_boot, unix_ms};
 use cloverhollow_recovery::{Boot, Stamp};
 
-/// The instant as later lives can read it.
-pub(crate) fn stamp() -> Stamp {
+/// Returns the current time since boot and wall-clock time.
+pub(crate) fn current_stamp() -> Stamp {
     Stamp { boot_ms: time_since_boot().as_millis() as u64, wall_ms: unix_ms() }
 }
 
-/// This boot of the machine; where it cannot be told, one that no other start will take for its own.
-pub(crate) fn boot() -> Boot {
-    let text = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
-    let digits: String = text.chars().filter(char::is_ascii_hexdigit).collect();
+/// Returns the identity of the machine's current boot.
+///
+/// Where the kernel does not provide one, returns a random value, which no other start takes for its own
+/// boot.
+pub(crate) fn current_boot() -> Boot {
+    let boot_id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
+    let digits: String = boot_id.chars().filter(char::is_ascii_hexdigit).collect();
     Boot(u128::from_str_radix(&digits, 16).unwrap_or_else(|_| fastrand::u128(1..)))
 }
--- a/crates/front/src/discovery.rs
+++ b/crates/front/src/discovery.rs
@@ -1,6 +1,6 @@
-//! The subscription to the server list: an event stream over HTTP, asked for again when it breaks.
+//! Subscription to the server list: an HTTP event stream, reopened when it breaks.
 
-use crate::desk::Mail;
+use crate::event_loop::LoopEvent;
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
@@ -10,74 +10,79 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Why a stream ended.
+/// Reason for the end of the event stream.
 #[derive(Debug, thiserror::Error)]
-enum Broken {
+enum StreamError {
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    #[error("silent for too long")]
-    Silent,
+    #[error("no data within discovery.silent_ms")]
+    TimedOut,
     #[error("status {0}")]
     Status(u16),
     #[error("{0}")]
     Wire(#[from] cloverhollow_net::WireError),
     #[error("{0}")]
-    Lines(&'static str),
+    Malformed(&'static str),
     #[error("{0}")]
     Feed(#[from] cloverhollow_session::FeedError),
-    #[error("it ended")]
+    #[error("the server closed the stream")]
     Ended,
 }
 
-/// Subscribes for as long as the front runs. Waits double between tries that brought nothing, with jitter so
-/// that fronts that lost one service together do not come back together.
+/// Subscribes for as long as the front runs.
+///
+/// The delay doubles after each connection that delivered no event. Jitter keeps fronts that lost the
+/// discovery service together from reconnecting together.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let settings = &shared.settings.discovery;
-    let mut wait = settings.again_ms.get();
+    let mut delay = settings.again_ms.get();
     loop {
-        let mut heard = false;
-        let broken = stream(&shared, &mut heard).await;
-        tracing::warn!(error = %broken, "server list stream broke");
-        if shared.desk.send(Mail::list(ListUpdate::broken())).await.is_err() {
+        let mut received = false;
+        let error = run_stream(&shared, &mut received).await;
+        tracing::warn!(%error, "server list stream ended");
+        if shared.event_tx.send(LoopEvent::list_update(ListUpdate::broken())).await.is_err() {
             return;
         }
-        wait = if heard { settings.again_ms.get() } else { (wait * 2).min(settings.again_most_ms.get()) };
+        delay =
+            if received { settings.again_ms.get() } else { (delay * 2).min(settings.again_most_ms.get()) };
         let jitter = 0.5 + fastrand::f64() / 2.0;
-        tokio::time::sleep(wait.mul_f64(jitter)).await;
+        tokio::time::sleep(delay.mul_f64(jitter)).await;
     }
 }
 
-async fn stream(shared: &Shared, heard: &mut bool) -> Broken {
-    match listen(shared, heard).await {
-        Ok(()) => Broken::Ended,
-        Err(broken) => broken,
+async fn run_stream(shared: &Shared, received: &mut bool) -> StreamError {
+    match read_stream(shared, received).await {
+        Ok(()) => StreamError::Ended,
+        Err(error) => error,
     }
 }
 
-async fn listen(shared: &Shared, heard: &mut bool) -> Result<(), Broken> {
+async fn read_stream(shared: &Shared, received: &mut bool) -> Result<(), StreamError> {
     let settings = &shared.settings.discovery;
-    let silent: Duration = settings.silent_ms.get();
-    let within = |d| timeout(silent, d);
-    let conn = within(connect(settings.address)).await.map_err(|_| Broken::Silent)?;
-    let mut conn = conn.map_err(Broken::Connect)?;
-    let target = Target::parse(settings.path.clone().into()).ok_or(Broken::Lines("no path"))?;
+    let timeout_after: Duration = settings.silent_ms.get();
+    let within = |d| timeout(timeout_after, d);
+    let conn = within(connect(settings.address)).await.map_err(|_| StreamError::TimedOut)?;
+    let mut conn = conn.map_err(StreamError::Connect)?;
+    let target = Target::parse(settings.path.clone().into())
+        .ok_or(StreamError::Malformed("discovery.path is not a valid request target"))?;
     let mut head = RequestHead::get(target);
     head.headers.push("host", settings.address.to_string());
     head.headers.push("via", shared.via.clone());
     head.headers.push("accept", "text/event-stream");
     conn.send_request(head, Bytes::new()).await?;
-    let head = timeout(silent, conn.read_head()).await.map_err(|_| Broken::Silent)??;
+    let head = timeout(timeout_after, conn.read_head()).await.map_err(|_| StreamError::TimedOut)??;
     if head.status != 200 {
-        return Err(Broken::Status(head.status));
+        return Err(StreamError::Status(head.status));
     }
-    let (mut feed, mut lines) = (Feed::default(), EventStreamDecoder::default());
+    let (mut feed, mut decoder) = (Feed::default(), EventStreamDecoder::default());
     loop {
-        let data = timeout(silent, conn.read_body_chunk()).await.map_err(|_| Broken::Silent)??;
+        let data =
+            timeout(timeout_after, conn.read_body_chunk()).await.map_err(|_| StreamError::TimedOut)??;
         let Some(data) = data else { return Ok(()) };
-        for event in lines.push(&data).map_err(Broken::Lines)? {
-            let news = feed.read(&event)?;
-            *heard = true;
-            if shared.desk.send(Mail::list(news)).await.is_err() {
+        for event in decoder.push(&data).map_err(StreamError::Malformed)? {
+            let update = feed.read(&event)?;
+            *received = true;
+            if shared.event_tx.send(LoopEvent::list_update(update)).await.is_err() {
                 return Ok(());
             }
         }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,40 +1,41 @@
-//! The session manager: a tokio shell round [`cloverhollow_session::Core`].
+//! Session manager: the Tokio shell around [`cloverhollow_session::Core`].
 //!
-//! The way of a request: `accept` (here) → `viewer` parses it and reads its hints → a mail to the `desk`,
-//! the one task that owns the core and with it the decision module → its commands: `attempt` sends a set-up,
-//! `desk` answers the viewer → `object` relays the server's answer. Later objects of a session that plays go
-//! from `viewer` straight to `object` by the core's routes, without passing the desk.
+//! Path of a request: `accept` takes the connection; `viewer` parses the request and reads its hints; an
+//! event goes to the `event_loop`, the one task that owns the core and with it the placement policy;
+//! `attempt` carries out the core's command to send a set-up; the `event_loop` answers the viewer; `object`
+//! relays the server's response. Later objects of an established session go from `viewer` directly to
+//! `object` by the core's routes, without passing the event loop.
 //!
-//! Nothing here decides; what is bounded and by which setting is said where it is bounded.
+//! This crate makes no placement decisions. Each bound is documented, with its setting, where it applies.
 
 mod accept;
 mod attempt;
 mod clock;
-mod desk;
+mod connection_pool;
 mod discovery;
-mod journal;
-mod lives;
+mod event_loop;
+mod log_recovery;
 mod members;
 mod object;
-mod out;
+mod out_of_service;
 mod peers;
-mod pool;
+mod persistence;
 mod release;
-mod save;
-mod side;
+mod side_endpoint;
 mod upstream;
 mod viewer;
+mod write_ahead_log;
 
 use cloverhollow_net::unix_ms;
 pub use cloverhollow_net::Clock;
-pub use lives::log_file_path;
-pub use out::LeaveOutcome;
+pub use log_recovery::log_file_path;
+pub use out_of_service::LeaveOutcome;
 
 use cloverhollow_recovery::Trust;
 use cloverhollow_session::{Core, Input, Policy, Routes, SnapshotCell, Stats, StepObserver};
 use cloverhollow_settings::FrontSettings;
-use desk::Desk;
-use pool::Pools;
+use connection_pool::ConnectionPools;
+use event_loop::EventLoop;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
@@ -44,179 +45,210 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Most mails that wait for the desk. A sender past it waits: back-pressure on the viewers' connections.
-const MOST_MAILS: usize = 65_536;
+/// Capacity of the event loop's queue. A sender that finds it full waits, which puts back-pressure on the
+/// viewers' connections.
+const MAX_QUEUED_EVENTS: usize = 65_536;
 
-/// What all tasks of one front share.
+/// State shared by all tasks of one front.
 pub(crate) struct Shared {
     pub(crate) settings: Arc<FrontSettings>,
     pub(crate) clock: Clock,
     pub(crate) routes: Arc<Routes>,
     pub(crate) stats: Arc<Stats>,
-    pub(crate) shelf: Arc<SnapshotCell>,
-    pub(crate) pools: Pools,
-    pub(crate) journal: journal::Journal,
-    pub(crate) desk: mpsc::Sender<desk::Mail>,
+    pub(crate) knowledge: Arc<SnapshotCell>,
+    pub(crate) pools: ConnectionPools,
+    pub(crate) log: write_ahead_log::WriteAheadLog,
+    pub(crate) event_tx: mpsc::Sender<event_loop::LoopEvent>,
     pub(crate) via: String,
     next_viewer: AtomicU64,
 }
 
 impl Shared {
-    /// A number for a waiting request, never used twice.
-    pub(crate) fn viewer(&self) -> cloverhollow_session::ViewerId {
+    /// Returns a new identifier for a waiting request; none is used twice.
+    pub(crate) fn next_viewer_id(&self) -> cloverhollow_session::ViewerId {
         cloverhollow_session::ViewerId(self.next_viewer.fetch_add(1, Relaxed))
     }
 }
 
-/// Why a front did not start.
+/// Reason why a front did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address cannot be listened on.
     #[error("{field} {address}: {source}")]
     Listen {
-        /// The setting.
+        /// Settings field that holds the address.
         field: &'static str,
-        /// Its address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A key of the members' datagrams can't be used.
+    /// A key for the members' datagrams cannot be used.
     #[error("members.keys {file}: {reason}")]
     InvalidKey {
-        /// The file.
+        /// Path of the key file.
         file: String,
-        /// Why.
+        /// Description of the problem.
         reason: String,
     },
-    /// Another process of this front runs: two lives at once would each spend the whole of every budget.
+    /// Another process of this front is running. Two processes would each spend the whole of every budget.
     #[error("keep.file: {0}")]
     AlreadyRunning(#[from] cloverhollow_store::PaperError),
 }
 
-/// A front that runs.
+/// A running front.
 pub struct Front {
-    /// Where viewers call.
+    /// Address that accepts viewers' connections.
     pub address: SocketAddr,
-    /// Where operators ask, if anywhere.
+    /// Address of the side endpoint, if it is enabled.
     pub side_address: Option<SocketAddr>,
-    /// Where the other fronts' datagrams come in, if anywhere.
+    /// Address that receives the members' datagrams, if membership is enabled.
     pub members_address: Option<SocketAddr>,
     stop: CancellationToken,
     tasks: TaskTracker,
-    journal: journal::Journal,
-    fleet: Option<Arc<members::Fleet>>,
+    log: write_ahead_log::WriteAheadLog,
+    fleet_member: Option<Arc<members::FleetMember>>,
     name: String,
 }
 
 impl Front {
-    /// Starts a front whose decisions are `policy`'s; `tap` is told each of its steps.
+    /// Starts a front whose placement decisions are made by `policy`. `step_observer` is called for each step
+    /// of the core.
     ///
     /// # Errors
-    /// An address cannot be listened on. Nothing runs then.
+    /// An address cannot be listened on, a member key cannot be used, or another process of this front is
+    /// running. No task runs then.
     pub async fn start<P: Policy + 'static>(
         settings: Arc<FrontSettings>,
         policy: P,
-        tap: Option<StepObserver>,
+        step_observer: Option<StepObserver>,
     ) -> Result<Front, StartError> {
-        // First of all: a second process of this front must not so much as open the first one's store.
-        let found = lives::open(&settings).await?;
-        let loaded = save::load(&settings).await;
-        let lives = lives::read(&settings, found, loaded.was_there);
+        // Must come first: a second process of this front must not even open the store of the first one.
+        let log_file = log_recovery::open(&settings).await?;
+        let loaded = persistence::load(&settings).await;
+        let recovery = log_recovery::replay(&settings, log_file, loaded.existed);
         let listener = bind("listen.address", settings.listen.address).await?;
-        let side = match settings.side.address {
+        let side_listener = match settings.side.address {
             Some(address) => Some(bind("side.address", address).await?),
             None => None,
         };
-        let address = local(&listener, settings.listen.address);
-        let side_address = side.as_ref().map(|s| local(s, address));
+        let address = local_address(&listener, settings.listen.address);
+        let side_address = side_listener.as_ref().map(|listener| local_address(listener, address));
 
         let mut core = Core::new(policy, settings.clone(), fastrand::u64(1..));
-        if let Some(tap) = tap {
-            core.set_step_observer(tap);
+        if let Some(observer) = step_observer {
+            core.set_step_observer(observer);
         }
         let clock = Clock::start();
-        let fleet = members::Fleet::open(&settings, clock, side_address).await?;
-        let (mail, mails) = mpsc::channel(MOST_MAILS);
+        let fleet = members::FleetMember::open(&settings, clock, side_address).await?;
+        let (event_tx, event_rx) = mpsc::channel(MAX_QUEUED_EVENTS);
         let shared = Arc::new(Shared {
             clock,
             routes: core.routes(),
             stats: core.stats(),
-            shelf: core.knowledge_snapshot(),
-            pools: Pools::new(&settings.servers),
-            journal: lives.journal,
-            desk: mail,
+            knowledge: core.knowledge_snapshot(),
+            pools: ConnectionPools::new(&settings.servers),
+            log: recovery.log,
+            event_tx,
             via: format!("1.1 {}", settings.instance.name.as_str()),
             next_viewer: AtomicU64::new(1),
             settings: settings.clone(),
         });
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
-        let state = Arc::new(side::State::new(&settings.peers, fleet.as_ref().map(|f| f.0.clone())));
-        let (outcome, outcomes) = mpsc::channel(peers::MOST_OUTCOMES);
+        let status =
+            Arc::new(side_endpoint::FrontStatus::new(&settings.peers, fleet.as_ref().map(|f| f.0.clone())));
+        let (merge_tx, merge_outcomes) = mpsc::channel(peers::MAX_MERGE_OUTCOMES);
 
-        // What was kept goes in before the first request can: the desk reads its mails in order.
+        // Persisted state is queued before any request can be: the event loop handles its events in order.
         let now = clock.now();
-        let proven = lives.recovered.trust;
-        state.set_before(proven.words(), lives.wait.deaths, now + lives.wait.hold);
-        if !lives.wait.hold.is_zero() {
-            let (deaths, hold_ms) = (lives.wait.deaths, lives.wait.hold.as_millis() as u64);
-            tracing::warn!(deaths, hold_ms, "died again and again: takes no viewers for a while");
+        let trust = recovery.recovered.trust;
+        status.set_previous_incarnations(
+            trust.words(),
+            recovery.restart_delay.deaths,
+            now + recovery.restart_delay.hold,
+        );
+        if !recovery.restart_delay.hold.is_zero() {
+            let (deaths, hold_ms) =
+                (recovery.restart_delay.deaths, recovery.restart_delay.hold.as_millis() as u64);
+            tracing::warn!(deaths, hold_ms, "repeated crashes: no viewers are accepted for a while");
         }
-        let ahead = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
-        let _ = shared.desk.send(desk::Mail::of(Input::ClockOffset(ahead))).await;
-        if proven != Trust::First {
-            let _ = shared.desk.send(desk::Mail::of(Input::Recovered(Box::new(lives.recovered)))).await;
+        let wall_clock_offset = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
+        let _ = shared
+            .event_tx
+            .send(event_loop::LoopEvent::from_input(Input::ClockOffset(wall_clock_offset)))
+            .await;
+        if trust != Trust::First {
+            let _ = shared
+                .event_tx
+                .send(event_loop::LoopEvent::from_input(Input::Recovered(Box::new(recovery.recovered))))
+                .await;
         }
-        if let Some(news) = loaded.list {
-            let _ = shared.desk.send(desk::Mail::list(news)).await;
+        if let Some(update) = loaded.list {
+            let _ = shared.event_tx.send(event_loop::LoopEvent::list_update(update)).await;
         }
         if let Some(message) = loaded.knowledge {
-            let _ = shared.desk.send(desk::Mail::of(Input::PersistedKnowledge(message))).await;
+            let _ = shared
+                .event_tx
+                .send(event_loop::LoopEvent::from_input(Input::PersistedKnowledge(message)))
+                .await;
         }
-        let saver = save::spawn(&tasks, &settings, loaded.keep, shared.shelf.clone(), clock, &stop);
-        let desk = Desk::new(core, shared.clone(), mails, saver, outcome, state.clone());
-        tasks.spawn(until(stop.clone(), desk.run()));
-        tasks.spawn(until(stop.clone(), discovery::run(shared.clone())));
-        let asks = !settings.peers.addresses.is_empty();
-        if asks {
-            state.set_level(cloverhollow_knowledge::Level::Warming, cloverhollow_knowledge::Why::Asking);
+        let list_tx = persistence::spawn_writer(
+            &tasks,
+            &settings,
+            loaded.store,
+            shared.knowledge.clone(),
+            clock,
+            &stop,
+        );
+        let event_loop = EventLoop::new(core, shared.clone(), event_rx, list_tx, merge_tx, status.clone());
+        tasks.spawn(run_until(stop.clone(), event_loop.run()));
+        tasks.spawn(run_until(stop.clone(), discovery::run(shared.clone())));
+        let has_peers = !settings.peers.addresses.is_empty();
+        if has_peers {
+            status.set_level(cloverhollow_knowledge::Level::Warming, cloverhollow_knowledge::Why::Asking);
         }
-        tasks.spawn(until(stop.clone(), peers::run(shared.clone(), state.clone(), side_address, outcomes)));
+        tasks.spawn(run_until(
+            stop.clone(),
+            peers::run(shared.clone(), status.clone(), side_address, merge_outcomes),
+        ));
         let members_address = fleet.as_ref().and_then(|(_, socket)| socket.local_addr().ok());
-        let of_fleet = fleet.as_ref().map(|f| f.0.clone());
+        let fleet_member = fleet.as_ref().map(|f| f.0.clone());
         if let Some((fleet, socket)) = fleet {
-            // It ends by itself too: a write that is under way is waited for.
-            tasks.spawn(out::keep(fleet.clone(), stop.clone()));
-            // Stops by itself: it leaves with a word.
+            // Stops by itself: a write in progress is completed.
+            tasks.spawn(out_of_service::persist(fleet.clone(), stop.clone()));
+            // Stops by itself: it announces that the member leaves.
             tasks.spawn(members::run(fleet, socket, settings.members.sync_ms.get(), stop.clone()));
         }
-        if let Some(side) = side {
-            tasks.spawn(until(stop.clone(), side::run(side, shared.clone(), state.clone())));
+        if let Some(side_listener) = side_listener {
+            tasks.spawn(run_until(
+                stop.clone(),
+                side_endpoint::run(side_listener, shared.clone(), status.clone()),
+            ));
         }
-        // Connections wait in the listener's queue meanwhile. Guards against the first moment of a front that
-        // comes back: its last list may name servers that have drained since.
-        let hold = settings.peers.hold_ms.get();
-        let journal = shared.journal.clone();
-        tasks.spawn(until(stop.clone(), async move {
-            // Drains that the last life heard may be lost: then the list is waited for.
-            let _ = tokio::time::timeout(hold, state.settled(proven.misses())).await;
+        // Until then connections wait in the listener's queue. Guards against the first moments after a
+        // restart, in which the persisted list may name servers that have drained since.
+        let max_wait = settings.peers.hold_ms.get();
+        let log = shared.log.clone();
+        tasks.spawn(run_until(stop.clone(), async move {
+            // Drain notices received by the previous incarnation may be lost; then the full list is awaited.
+            let _ = tokio::time::timeout(max_wait, status.warm_start_ended(trust.misses())).await;
             tokio::join!(
-                accept::accept(listener, shared.clone(), state.clone()),
-                out::comes_back(shared, state)
+                accept::accept(listener, shared.clone(), status.clone()),
+                out_of_service::enter_service_when_ready(shared, status)
             );
         }));
         let name = settings.instance.name.as_str().to_string();
         tracing::info!(%address, name, "front started");
-        Ok(Front { address, side_address, members_address, stop, tasks, journal, fleet: of_fleet, name })
+        Ok(Front { address, side_address, members_address, stop, tasks, log, fleet_member, name })
     }
 
-    /// Stops at once: connections are closed, sessions forgotten, the last list is kept.
+    /// Stops at once: closes the connections, drops the sessions, persists the last server list.
     pub async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
-        // Last of all: what no deed follows has ended in order.
-        self.journal.close().await;
+        // Must come last: a log that ends with this record shows that everything ended in order.
+        self.log.close().await;
     }
 }
 
@@ -224,11 +256,11 @@
     TcpListener::bind(address).await.map_err(|source| StartError::Listen { field, address, source })
 }
 
-fn local(listener: &TcpListener, told: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(told)
+fn local_address(listener: &TcpListener, fallback: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(fallback)
 }
 
-async fn until(stop: CancellationToken, task: impl std::future::Future<Output = ()>) {
+async fn run_until(stop: CancellationToken, task: impl std::future::Future<Output = ()>) {
     tokio::select! {
         () = stop.cancelled() => {}
         () = task => {}
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -1,14 +1,16 @@
-//! The other fronts: datagrams at `members.listen`, and the part that the decisions have of what the fleet may do.
+//! SWIM membership: the datagram socket at `members.listen`, and the fleet size that the placement policy may
+//! use.
 //!
-//! One task owns the socket. Datagrams that the system can't take at once are lost, as any may be: nothing waits. The
-//! member's state is behind a lock that is held for one datagram, one tick or one page; the desk looks at the part
-//! under it before each step, by a clock that goes on while the process stands still.
+//! One task owns the socket. Datagrams that the operating system cannot take at once are dropped, like any
+//! that the network loses. The member's state is behind a lock that is held for one datagram, one tick or one
+//! status page. The event loop reads the fleet size under that lock before each step, by a clock that also
+//! advances while the process is suspended.
 
 mod keys;
-mod page;
 mod permits;
+mod status_page;
 
-use crate::out::{Gate, Out};
+use crate::out_of_service::{OutOfService, Signals};
 use crate::StartError;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
@@ -25,155 +27,165 @@
 use tokio::time::{sleep_until, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// Path at the side address by which members tell each other all that they hold.
+/// Path at the side address where members exchange their full member lists.
 pub(crate) const PATH: &str = "/v1/members";
-/// Path of the operators' page there.
+/// Path of the operators' status page at the side address.
 pub(crate) const PAGE: &str = "/v1/fleet";
-/// The argument that an answer carries back.
+/// Query argument that the response repeats.
 pub(crate) const NONCE: &str = "nonce";
-/// Time for one such question.
-const WITHIN: Duration = Duration::from_secs(2);
+/// Time limit for one full exchange with a member.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// This front as a member.
+/// This front as a member of the fleet.
 #[derive(Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct FleetMember {
     clock: Clock,
-    counts: bool,
+    uses_witnesses: bool,
     member: Mutex<Member>,
-    /// Where permits are on.
-    out: Option<Mutex<Out>>,
-    pub(crate) gate: Gate,
+    /// `None` where permits are disabled.
+    permits: Option<Mutex<OutOfService>>,
+    pub(crate) signals: Signals,
 }
 
-impl Fleet {
-    /// Opens the socket, where `members.listen` is set. `side`: this front's side address.
+impl FleetMember {
+    /// Opens the datagram socket, if `members.listen` is set. `side_address`: this front's own side address.
     ///
     /// # Errors
-    /// The address can't be listened on, or a key can't be used.
+    /// The address cannot be listened on, or a key cannot be used.
     pub(crate) async fn open(
         settings: &FrontSettings,
         clock: Clock,
-        side: Option<SocketAddr>,
-    ) -> Result<Option<(Arc<Fleet>, UdpSocket)>, StartError> {
-        let m = &settings.members;
-        let Some(listen) = m.listen else { return Ok(None) };
-        let listening = |source| StartError::Listen { field: "members.listen", address: listen, source };
-        let socket = UdpSocket::bind(listen).await.map_err(listening)?;
-        let bound = socket.local_addr().map_err(listening)?;
+        side_address: Option<SocketAddr>,
+    ) -> Result<Option<(Arc<FleetMember>, UdpSocket)>, StartError> {
+        let members = &settings.members;
+        let Some(listen) = members.listen else { return Ok(None) };
+        let listen_error = |source| StartError::Listen { field: "members.listen", address: listen, source };
+        let socket = UdpSocket::bind(listen).await.map_err(listen_error)?;
+        let bound = socket.local_addr().map_err(listen_error)?;
         let mut keys = Vec::new();
-        for k in &m.keys {
-            let secret = keys::secret(&k.file)
-                .map_err(|reason| StartError::InvalidKey { file: k.file.display().to_string(), reason })?;
-            keys.push(Key { id: k.id.get() as u32, secret });
+        for key in &members.keys {
+            let secret = keys::read_secret(&key.file)
+                .map_err(|reason| StartError::InvalidKey { file: key.file.display().to_string(), reason })?;
+            keys.push(Key { id: key.id.get() as u32, secret });
         }
         let me = Who {
-            address: m.address.unwrap_or(bound),
-            side,
+            address: members.address.unwrap_or(bound),
+            side: side_address,
             name: settings.instance.name.as_str().into(),
             hall: settings.instance.hall.as_str().into(),
             life: Life { number: unix_ms(), token: fastrand::u64(1..) },
         };
         let swim = SwimSettings {
-            probe: m.probe_ms.get(),
-            answer: m.answer_ms.get(),
-            suspicion: m.suspicion_ms.get(),
-            gossip: m.gossip_ms.get(),
-            heal: m.heal_ms.get(),
-            seeds: m.seeds.clone(),
+            probe: members.probe_ms.get(),
+            answer: members.answer_ms.get(),
+            suspicion: members.suspicion_ms.get(),
+            gossip: members.gossip_ms.get(),
+            heal: members.heal_ms.get(),
+            seeds: members.seeds.clone(),
             ..SwimSettings::default()
         };
         tracing::info!(address = %me.address, name = %me.name, life = %me.life, "member starts");
-        let set = MemberSettings {
+        let member_settings = MemberSettings {
             me,
             keys,
             swim,
-            lease: m.lease_ms.get(),
-            witnesses: m.witnesses.clone(),
+            lease: members.lease_ms.get(),
+            witnesses: members.witnesses.clone(),
             seed: fastrand::u64(..),
         };
-        let counts = !m.witnesses.is_empty();
-        let out = Out::open(settings, clock.now(), set.me.address, set.me.life.token).map(Mutex::new);
-        let member = Mutex::new(Member::new(clock.now(), set));
-        Ok(Some((Arc::new(Fleet { clock, counts, member, out, gate: Gate::default() }), socket)))
+        let uses_witnesses = !members.witnesses.is_empty();
+        let permits = OutOfService::open(
+            settings,
+            clock.now(),
+            member_settings.me.address,
+            member_settings.me.life.token,
+        )
+        .map(Mutex::new);
+        let member = Mutex::new(Member::new(clock.now(), member_settings));
+        Ok(Some((
+            Arc::new(FleetMember { clock, uses_witnesses, member, permits, signals: Signals::default() }),
+            socket,
+        )))
     }
 
     fn member(&self) -> MutexGuard<'_, Member> {
         self.member.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One step of the member.
-    fn step<T>(&self, step: impl FnOnce(&mut Member) -> T) -> T {
+    /// Runs one operation on the member and checks its invariants.
+    fn with_member<T>(&self, operation: impl FnOnce(&mut Member) -> T) -> T {
         let mut member = self.member();
-        let out = step(&mut member);
+        let result = operation(&mut member);
         if !invariants_hold("member", || member.check()) {
             std::process::exit(INVARIANT_EXIT_CODE);
         }
-        out
+        result
     }
 
-    /// How many fronts the decisions may reckon with now: `None` while there is no count in force. Outer `None`:
-    /// without witnesses the settings' number holds.
-    pub(crate) fn counted(&self) -> Option<Option<usize>> {
-        self.counts.then(|| self.member().part().and_then(|p| p.at(self.clock.now())))
+    /// Returns the number of fronts that the policy may assume now. Inner `None`: no lease count is in force.
+    /// Outer `None`: there are no witnesses, and the number from the settings applies.
+    pub(crate) fn fleet_size(&self) -> Option<Option<usize>> {
+        self.uses_witnesses.then(|| self.member().part().and_then(|p| p.at(self.clock.now())))
     }
 
-    /// The younger process of this front's name, where there is one.
-    pub(crate) fn stepped_back(&self) -> Option<SocketAddr> {
+    /// Returns the address of a newer process with this front's name, if there is one.
+    pub(crate) fn superseded_by(&self) -> Option<SocketAddr> {
         self.member().stepped_back().map(|w| w.address)
     }
 
-    /// All that it holds, sealed, for a member that asks.
-    pub(crate) fn records(&self, nonce: u64) -> Option<Vec<u8>> {
+    /// Returns the full member list, sealed for the member that asked.
+    pub(crate) fn sealed_member_list(&self, nonce: u64) -> Option<Vec<u8>> {
         self.member().records(nonce)
     }
 
-    /// What is to be sent, and what happened, by the log.
-    fn done(&self) -> Vec<Outgoing> {
-        let mut m = self.member();
-        for notice in m.take_notices() {
-            let name = &m.me().name;
+    /// Logs the member's notices and returns the datagrams to send.
+    fn take_outgoing(&self) -> Vec<Outgoing> {
+        let mut member = self.member();
+        for notice in member.take_notices() {
+            let name = &member.me().name;
             match notice {
                 Notice::StoodStill(d) => {
-                    tracing::warn!(member = %name, ms = d.as_millis() as u64, "stood still: what was believed is doubted")
+                    tracing::warn!(member = %name, ms = d.as_millis() as u64, "process was suspended: previous membership state is suspect")
                 }
                 Notice::Risen(who) => {
-                    tracing::warn!(member = %name, life = %who.life, "was taken for gone: goes on as a new life")
+                    tracing::warn!(member = %name, life = %who.life, "was declared dead by other members: continues as a new incarnation")
                 }
                 Notice::StepBack(who) => tracing::error!(
                     member = %name, address = %who.address, life = %who.life,
-                    "another, younger process bears this front's name: this one takes nothing new"
+                    "a newer process has this front's name: this one accepts nothing new"
                 ),
             }
         }
-        m.take_out()
+        member.take_out()
     }
 
-    /// Somebody to ask for all that they hold: drawn among those that are there and have a side address.
-    fn somebody(&self) -> Option<SocketAddr> {
-        let m = self.member();
-        let me = m.me().address;
-        let there = m.view().members.values().filter(|s| s.sure == Sure::There && s.who.address != me);
-        fastrand::choice(there.filter_map(|s| s.who.side).collect::<Vec<_>>())
+    /// Returns the side address of a random live member, if one is known.
+    fn random_peer(&self) -> Option<SocketAddr> {
+        let member = self.member();
+        let own_address = member.me().address;
+        let live =
+            member.view().members.values().filter(|s| s.sure == Sure::There && s.who.address != own_address);
+        fastrand::choice(live.filter_map(|s| s.who.side).collect::<Vec<_>>())
     }
 
-    /// Asks a member for all that it holds.
-    async fn ask(&self, peer: SocketAddr) {
+    /// Fetches and merges the full member list of a peer.
+    async fn sync_with(&self, peer: SocketAddr) {
         let nonce = fastrand::u64(..);
-        let taken = match timeout(WITHIN, question(peer, nonce)).await {
+        let merged = match timeout(SYNC_TIMEOUT, fetch_member_list(peer, nonce)).await {
             Ok(Some(body)) => {
-                self.step(|m| m.sync(self.clock.now(), nonce, &body)).map_err(|e| e.to_string())
+                self.with_member(|m| m.sync(self.clock.now(), nonce, &body)).map_err(|e| e.to_string())
             }
-            Ok(None) => Err("no answer that can be used".into()),
-            Err(_) => Err("no answer in time".into()),
+            Ok(None) => Err("no usable response".into()),
+            Err(_) => Err("no response in time".into()),
         };
-        match taken {
-            Ok(()) => self.heard_list(),
-            Err(error) => tracing::info!(%peer, error, "a member's list is not taken"),
+        match merged {
+            Ok(()) => self.set_list_received(),
+            Err(error) => tracing::info!(%peer, error, "member list not merged"),
         }
     }
 }
 
-async fn question(peer: SocketAddr, nonce: u64) -> Option<Vec<u8>> {
+async fn fetch_member_list(peer: SocketAddr, nonce: u64) -> Option<Vec<u8>> {
     let mut conn = connect(peer).await.ok()?;
     let target = Target::parse(format!("{PATH}?{NONCE}={nonce}").into())?;
     let mut head = RequestHead::get(target);
@@ -182,47 +194,52 @@
     (head.status == 200).then_some(body)
 }
 
-/// Runs until `stop`, then leaves with a word.
-pub(crate) async fn run(fleet: Arc<Fleet>, socket: UdpSocket, every: Duration, stop: CancellationToken) {
+/// Runs until `stop`, then announces that this member leaves.
+pub(crate) async fn run(
+    fleet: Arc<FleetMember>,
+    socket: UdpSocket,
+    interval: Duration,
+    stop: CancellationToken,
+) {
     let clock = fleet.clock;
-    let mut next_sync = clock.now() + fleet.sync_every(every).mul_f64(fastrand::f64());
-    // One byte more than any may have: a longer one is seen to be too long.
+    let mut next_sync = clock.now() + fleet.sync_interval(interval).mul_f64(fastrand::f64());
+    // One byte longer than the limit, so that an oversized datagram is recognised.
     let mut buf = [0; MOST_DATAGRAM + 1];
-    let mut asking = std::pin::pin!(None);
+    let mut active_sync = std::pin::pin!(None);
     loop {
-        fleet.turn();
-        for Outgoing { to, bytes } in fleet.done() {
-            // A full socket buffer or a peer that refuses loses it, as the network may.
+        fleet.step_permits();
+        for Outgoing { to, bytes } in fleet.take_outgoing() {
+            // A full socket buffer or a refusing peer drops the datagram, as the network may.
             let _ = socket.try_send_to(&bytes, to);
         }
-        let due = fleet.member().next_due().min(next_sync).min(fleet.out_due());
+        let due = fleet.member().next_due().min(next_sync).min(fleet.next_permit_due());
         tokio::select! {
             () = stop.cancelled() => break,
-            () = fleet.gate.turn.notified() => {}
-            got = socket.recv_from(&mut buf) => {
-                if let Ok((n, from)) = got {
-                    if let Err(why) = fleet.step(|m| m.datagram(clock.now(), &buf[..n])) {
-                        tracing::debug!(%from, error = %why, "a datagram is not taken");
+            () = fleet.signals.permit_work.notified() => {}
+            received = socket.recv_from(&mut buf) => {
+                if let Ok((n, from)) = received {
+                    if let Err(error) = fleet.with_member(|m| m.datagram(clock.now(), &buf[..n])) {
+                        tracing::debug!(%from, %error, "datagram rejected");
                     }
                 }
             }
-            () = async { if let Some(ask) = asking.as_mut().as_pin_mut() { ask.await } }, if asking.is_some() => {
-                asking.set(None);
+            () = async { if let Some(sync) = active_sync.as_mut().as_pin_mut() { sync.await } }, if active_sync.is_some() => {
+                active_sync.set(None);
             }
             () = sleep_until(clock.instant(due)) => {
                 let now = clock.now();
-                fleet.step(|m| m.tick(now));
+                fleet.with_member(|m| m.tick(now));
                 if now >= next_sync {
-                    next_sync = now + fleet.sync_every(every);
-                    if let (true, Some(peer)) = (asking.is_none(), fleet.somebody()) {
-                        asking.set(Some(fleet.ask(peer)));
+                    next_sync = now + fleet.sync_interval(interval);
+                    if let (true, Some(peer)) = (active_sync.is_none(), fleet.random_peer()) {
+                        active_sync.set(Some(fleet.sync_with(peer)));
                     }
                 }
             }
         }
     }
     fleet.member().leave(clock.now());
-    for Outgoing { to, bytes } in fleet.done() {
+    for Outgoing { to, bytes } in fleet.take_outgoing() {
         let _ = socket.try_send_to(&bytes, to);
     }
 }
--- a/crates/front/src/members/permits.rs
+++ b/crates/front/src/members/permits.rs
@@ -1,86 +1,87 @@
-//! What the members' task does for permits, where they are on.
+//! Operations of the membership task on permits, where they are enabled.
 
-use super::Fleet;
-use crate::out::Out;
+use super::FleetMember;
+use crate::out_of_service::OutOfService;
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A front that has no member's whole list yet asks for one so often: without it, it gets no permit.
-const FIRST_LIST: Duration = Duration::from_millis(500);
-/// Nothing is due.
-const LATER: Duration = Duration::from_secs(3_600);
+/// Interval between requests for a full member list until the first one has arrived; without it the front
+/// gets no permit.
+const FIRST_LIST_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay until the next wake-up when nothing is due.
+const IDLE_DELAY: Duration = Duration::from_secs(3_600);
 
-impl Fleet {
-    pub(crate) fn out(&self) -> Option<MutexGuard<'_, Out>> {
-        self.out.as_ref().map(|o| o.lock().unwrap_or_else(PoisonError::into_inner))
+impl FleetMember {
+    pub(crate) fn permits(&self) -> Option<MutexGuard<'_, OutOfService>> {
+        self.permits.as_ref().map(|permits| permits.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Hands in what came, does what is due, and hands out what is to be said.
-    pub(super) fn turn(&self) {
-        let mut m = self.member();
-        // Where permits are off they are dropped.
-        let words = m.take_other();
-        let Some(mut out) = self.out() else { return };
+    /// Passes received messages to the permit state, runs what is due, and queues the messages to send.
+    pub(super) fn step_permits(&self) {
+        let mut member = self.member();
+        // Where permits are disabled the messages are dropped.
+        let messages = member.take_other();
+        let Some(mut permits) = self.permits() else { return };
         let now = self.clock.now();
-        out.look(now, m.view());
-        words.iter().for_each(|w| out.datagram(now, w));
-        out.tick(now);
-        for (to, word) in out.take_words(now) {
-            let said = postcard::to_stdvec(&word).is_ok_and(|bytes| m.say_other(to, bytes));
-            if !said {
-                tracing::error!(%to, "a word on permits does not fit into a datagram");
+        permits.update_view(now, member.view());
+        messages.iter().for_each(|bytes| permits.handle_datagram(now, bytes));
+        permits.tick(now);
+        for (to, message) in permits.take_outgoing(now) {
+            let queued = postcard::to_stdvec(&message).is_ok_and(|bytes| member.say_other(to, bytes));
+            if !queued {
+                tracing::error!(%to, "permit message not sent: it does not fit into a datagram");
             }
         }
-        debug_assert_eq!(out.check(), Ok(()));
-        if out.has_to_keep() {
-            self.gate.write.notify_one();
+        debug_assert_eq!(permits.check(), Ok(()));
+        if permits.needs_persisting() {
+            self.signals.persist.notify_one();
         }
     }
 
-    /// When [`Fleet::turn`] is next due.
-    pub(super) fn out_due(&self) -> Duration {
+    /// Returns the time when [`FleetMember::step_permits`] is next due.
+    pub(super) fn next_permit_due(&self) -> Duration {
         let now = self.clock.now();
-        self.out().and_then(|o| o.next_due(now)).unwrap_or(now + LATER)
+        self.permits().and_then(|permits| permits.next_due(now)).unwrap_or(now + IDLE_DELAY)
     }
 
-    /// How often a member is asked for all that it holds.
-    pub(super) fn sync_every(&self, every: Duration) -> Duration {
-        match self.out().is_some_and(|o| !o.is_listed()) {
-            true => every.min(FIRST_LIST),
-            false => every,
+    /// Returns the interval between requests for a member's full list.
+    pub(super) fn sync_interval(&self, interval: Duration) -> Duration {
+        match self.permits().is_some_and(|permits| !permits.is_list_received()) {
+            true => interval.min(FIRST_LIST_INTERVAL),
+            false => interval,
         }
     }
 
-    pub(super) fn heard_list(&self) {
-        if let Some(mut out) = self.out() {
-            out.set_listed();
+    pub(super) fn set_list_received(&self) {
+        if let Some(mut permits) = self.permits() {
+            permits.set_list_received();
         }
     }
 
-    /// It is to go out, from now on or no more.
-    pub(crate) fn want(&self, wanted: bool) {
-        if let Some(mut out) = self.out() {
-            out.want(wanted);
+    /// Sets whether this front is to go out of service.
+    pub(crate) fn set_leaving(&self, leaving: bool) {
+        if let Some(mut permits) = self.permits() {
+            permits.set_leaving(leaving);
         }
-        self.gate.turn.notify_one();
+        self.signals.permit_work.notify_one();
     }
 
-    /// It takes viewers: what its last life holds is given back.
-    pub(crate) fn set_back(&self) {
-        if let Some(mut out) = self.out() {
-            out.set_back();
+    /// Marks this front as in service: permits of previous incarnations are returned.
+    pub(crate) fn set_in_service(&self) {
+        if let Some(mut permits) = self.permits() {
+            permits.set_in_service();
         }
-        self.gate.turn.notify_one();
+        self.signals.permit_work.notify_one();
     }
 
-    /// The term of the permit under which it may go at this very time.
-    pub(crate) fn may_leave(&self) -> Option<u64> {
+    /// Returns the term of the permit under which this front may leave right now.
+    pub(crate) fn usable_permit_term(&self) -> Option<u64> {
         let now = self.clock.now();
-        self.out()?.may_leave(now).map(|t| t.0)
+        self.permits()?.usable_permit(now).map(|term| term.0)
     }
 
-    /// Why the last ask came to nothing.
-    pub(crate) fn why_not(&self) -> String {
-        self.out().map(|o| o.why_not()).unwrap_or_default()
+    /// Returns the reason why the last proposal failed.
+    pub(crate) fn denial_reason(&self) -> String {
+        self.permits().map(|permits| permits.denial_reason()).unwrap_or_default()
     }
 }
--- a/crates/front/src/object.rs
+++ b/crates/front/src/object.rs
@@ -1,9 +1,9 @@
-//! Later objects of a session that plays, and the relay of any server's answer to its viewer.
+//! Later objects of established sessions, and the relay of server responses to viewers.
 
-use crate::desk::Mail;
-use crate::pool::{Lease, LeaseError};
-use crate::upstream::{self, Ask, Told};
-use crate::viewer::{Flow, ViewerConn};
+use crate::connection_pool::{AcquireError, PooledConnection};
+use crate::event_loop::LoopEvent;
+use crate::upstream::{self, ResponseHints, ViewerRequest};
+use crate::viewer::{Disposition, ViewerConn};
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_hints::cmsd;
@@ -15,139 +15,167 @@
 use std::time::Instant;
 use tokio::time::timeout;
 
-/// Why a later object was not had.
-enum Miss {
-    /// The front's own connections are all in use: the session plays on.
-    Busy,
-    /// The server has lost the session, or is lost itself.
-    Lost { late: bool },
+/// Reason why an object was not fetched.
+enum FetchError {
+    /// All of the front's connections to the server are in use; the session continues.
+    PoolExhausted,
+    /// The server no longer holds the session, or does not respond.
+    Lost { timed_out: bool },
 }
 
-/// Fetches a later object and relays it. One answer in any case.
-pub(crate) async fn serve(conn: &mut ViewerConn, ask: &Ask, route: &Route, shared: &Shared) -> Flow {
-    let fetching = route.begin_fetch();
-    let flow = answer(conn, ask, route, shared).await;
-    // Heard of before it may count as idle. If the viewer goes, this is dropped, and its idle time counts from before.
+/// Fetches an object and relays it. Sends exactly one response in every case.
+pub(crate) async fn serve(
+    conn: &mut ViewerConn,
+    request: &ViewerRequest,
+    route: &Route,
+    shared: &Shared,
+) -> Disposition {
+    let fetch_guard = route.begin_fetch();
+    let disposition = fetch_and_relay(conn, request, route, shared).await;
+    // Activity is recorded before the session can count as idle. If the viewer disconnects, this future is
+    // dropped and the idle time runs from the previous record.
     route.record_activity(shared.clock.now());
-    drop(fetching);
-    flow
+    drop(fetch_guard);
+    disposition
 }
 
-async fn answer(conn: &mut ViewerConn, ask: &Ask, route: &Route, shared: &Shared) -> Flow {
-    let begun = Instant::now();
+async fn fetch_and_relay(
+    conn: &mut ViewerConn,
+    request: &ViewerRequest,
+    route: &Route,
+    shared: &Shared,
+) -> Disposition {
+    let started_at = Instant::now();
     route.record_activity(shared.clock.now());
     shared.stats.objects.fetch_add(1, Relaxed);
-    match fetch(ask, route, shared).await {
-        Ok((head, lease)) => {
-            let told = upstream::told(&head, route.kbps());
-            if told.unknown {
-                lose(route, shared).await;
+    match fetch(request, route, shared).await {
+        Ok((head, connection)) => {
+            let hints = upstream::response_hints(&head, route.kbps());
+            if hints.unknown_session {
+                report_session_lost(route, shared).await;
                 return conn.fail(502, "unknown-session", shared).await;
             }
             let settings = &shared.settings.reports;
-            let (every, short) = (settings.every_ms.get(), settings.short_every_ms.get());
-            if let Some(load) = route.report_throttle.take_due(shared.clock.now(), told.load, every, short) {
-                let (request, server) = (route.request, route.server);
-                // A desk that is behind can do without one reading.
-                let _ = shared.desk.try_send(Mail::of(Input::LoadReport { request, server, load }));
+            let (interval, short_interval) = (settings.every_ms.get(), settings.short_every_ms.get());
+            if let Some(load) =
+                route.report_throttle.take_due(shared.clock.now(), hints.load, interval, short_interval)
+            {
+                let (session_request, server) = (route.request, route.server);
+                // An event loop that is behind can do without one load report.
+                let _ = shared.event_tx.try_send(LoopEvent::from_input(Input::LoadReport {
+                    request: session_request,
+                    server,
+                    load,
+                }));
             }
-            relay(conn, head, told, lease, Some(route), begun, shared).await
+            relay(conn, head, hints, connection, Some(route), started_at, shared).await
+        }
+        Err(FetchError::PoolExhausted) => {
+            conn.refuse(shared.settings.limits.hold_off_ms.get(), "front-full", shared).await
         }
-        Err(Miss::Busy) => conn.refuse(shared.settings.limits.hold_off_ms.get(), "front-full", shared).await,
-        Err(Miss::Lost { late }) => {
-            lose(route, shared).await;
-            conn.fail(if late { 504 } else { 502 }, "session-lost", shared).await
+        Err(FetchError::Lost { timed_out }) => {
+            report_session_lost(route, shared).await;
+            conn.fail(if timed_out { 504 } else { 502 }, "session-lost", shared).await
         }
     }
 }
 
-async fn lose(route: &Route, shared: &Shared) {
-    let _ = shared.desk.send(Mail::of(Input::SessionLost { request: route.request })).await;
+async fn report_session_lost(route: &Route, shared: &Shared) {
+    let _ = shared.event_tx.send(LoopEvent::from_input(Input::SessionLost { request: route.request })).await;
 }
 
-/// The head of the object's answer, within `servers.object_ms` a try. A used connection that closes before
-/// its answer is tried once more on a new one: later objects set nothing up.
-async fn fetch(ask: &Ask, route: &Route, shared: &Shared) -> Result<(ResponseHead, Lease), Miss> {
-    let mut fresh = false;
+/// Returns the head of the object's response, with a limit of `servers.object_ms` for each try.
+///
+/// A reused connection that closes before the response is tried once more on a new one, which is safe because
+/// later objects set nothing up.
+async fn fetch(
+    request: &ViewerRequest,
+    route: &Route,
+    shared: &Shared,
+) -> Result<(ResponseHead, PooledConnection), FetchError> {
+    let mut require_new = false;
     loop {
-        let lease = shared.pools.lease(route.server, route.address, fresh).await;
-        let mut lease = lease.map_err(|e| match e {
-            LeaseError::Busy => Miss::Busy,
-            LeaseError::NotConnected(_) => Miss::Lost { late: false },
+        let connection = shared.pools.acquire(route.server, route.address, require_new).await;
+        let mut connection = connection.map_err(|e| match e {
+            AcquireError::PoolExhausted => FetchError::PoolExhausted,
+            AcquireError::ConnectFailed(_) => FetchError::Lost { timed_out: false },
         })?;
-        let head = upstream::object_head(ask, route, shared);
+        let head = upstream::object_request(request, route, shared);
         let exchange = async {
-            lease.conn().send_request(head, Bytes::new()).await?;
-            lease.conn().read_head().await
+            connection.client().send_request(head, Bytes::new()).await?;
+            connection.client().read_head().await
         };
         match timeout(shared.settings.servers.object_ms.get(), exchange).await {
-            Ok(Ok(head)) => return Ok((head, lease)),
-            Ok(Err(_)) if lease.used => fresh = true,
-            Ok(Err(_)) => return Err(Miss::Lost { late: false }),
-            Err(_) => return Err(Miss::Lost { late: true }),
+            Ok(Ok(head)) => return Ok((head, connection)),
+            Ok(Err(_)) if connection.reused => require_new = true,
+            Ok(Err(_)) => return Err(FetchError::Lost { timed_out: false }),
+            Err(_) => return Err(FetchError::Lost { timed_out: true }),
         }
     }
 }
 
-/// Passes an answer on as it comes: at most one frame is held. The viewer has `listen.write_ms` to take each
-/// part, the server `servers.body_ms` to send it.
+/// Relays a response as it arrives; at most one frame is buffered.
+///
+/// The viewer has `listen.write_ms` to accept each part, the server `servers.body_ms` to send it.
 pub(crate) async fn relay(
     conn: &mut ViewerConn,
     head: ResponseHead,
-    told: Told,
-    mut lease: Lease,
+    hints: ResponseHints,
+    mut connection: PooledConnection,
     route: Option<&Route>,
-    begun: Instant,
+    started_at: Instant,
     shared: &Shared,
-) -> Flow {
-    let hop = upstream::own_hop(shared, route, begun.elapsed().as_millis() as u32);
-    let mut out = ResponseHead { keep_alive: conn.keep_alive, ..ResponseHead::new(head.status, 0) };
-    out.framing = head.framing;
-    out.headers = head.headers.without(cmsd::DYNAMIC);
-    out.headers.push(cmsd::DYNAMIC, hop.append_to(&told.path));
-    out.headers.push("via", shared.via.clone());
-    let write = shared.settings.listen.write_ms.get();
-    let passed = async {
-        conn.framed.feed(ResponseFrame::Head(out)).await?;
+) -> Disposition {
+    let hop = upstream::own_cmsd_hop(shared, route, started_at.elapsed().as_millis() as u32);
+    let mut relayed_head = ResponseHead { keep_alive: conn.keep_alive, ..ResponseHead::new(head.status, 0) };
+    relayed_head.framing = head.framing;
+    relayed_head.headers = head.headers.without(cmsd::DYNAMIC);
+    relayed_head.headers.push(cmsd::DYNAMIC, hop.append_to(&hints.cmsd_path));
+    relayed_head.headers.push("via", shared.via.clone());
+    let write_timeout = shared.settings.listen.write_ms.get();
+    let relay_body = async {
+        conn.framed.feed(ResponseFrame::Head(relayed_head)).await?;
         loop {
-            // Flushed only when the server has nothing more at hand: small answers go out in one write.
-            let ready = lease.conn().read_body_chunk().now_or_never();
+            // Flushed only when the server has no more data ready: a small response goes out in one write.
+            let ready = connection.client().read_body_chunk().now_or_never();
             let data = match ready {
                 Some(data) => data?,
                 None => {
-                    timeout(write, conn.framed.flush()).await.map_err(|_| late())??;
+                    timeout(write_timeout, conn.framed.flush()).await.map_err(|_| timeout_error())??;
                     let next =
-                        timeout(shared.settings.servers.body_ms.get(), lease.conn().read_body_chunk()).await;
-                    next.map_err(|_| late())??
+                        timeout(shared.settings.servers.body_ms.get(), connection.client().read_body_chunk())
+                            .await;
+                    next.map_err(|_| timeout_error())??
                 }
             };
             match data {
                 Some(data) => {
-                    timeout(write, conn.framed.feed(ResponseFrame::Data(data)))
+                    timeout(write_timeout, conn.framed.feed(ResponseFrame::Data(data)))
                         .await
-                        .map_err(|_| late())??;
+                        .map_err(|_| timeout_error())??;
                 }
                 None => break,
             }
         }
-        timeout(write, conn.framed.send(ResponseFrame::End)).await.map_err(|_| late())??;
+        timeout(write_timeout, conn.framed.send(ResponseFrame::End)).await.map_err(|_| timeout_error())??;
         Ok::<(), WireError>(())
     };
-    match passed.await {
+    match relay_body.await {
         Ok(()) => {
-            lease.give_back();
-            conn.flow()
+            connection.return_to_pool();
+            conn.disposition()
         }
-        // Its one answer has begun: what there is of it goes out, and the close shows the viewer the cut.
-        // Guards against an answer that was fed and never written, as if the front had said nothing.
+        // The response has begun, so the buffered part is flushed and the close shows the viewer that it was
+        // cut. Guards against a response that is buffered but never written, as if the front had not
+        // answered.
         Err(e) => {
-            let _ = timeout(write, conn.framed.flush()).await;
-            tracing::debug!(session = route.map(|r| &*r.sid), error = %e, "answer cut");
-            Flow::Close
+            let _ = timeout(write_timeout, conn.framed.flush()).await;
+            tracing::debug!(session = route.map(|r| &*r.sid), error = %e, "response cut off");
+            Disposition::Close
         }
     }
 }
 
-fn late() -> WireError {
+fn timeout_error() -> WireError {
     std::io::Error::from(std::io::ErrorKind::TimedOut).into()
 }
--- /dev/null
+++ b/crates/front/src/out_of_service/mod.rs
@@ -0,0 +1,261 @@
+//! Permits to be out of service: this front's proposer, and its acceptor where it is a witness, run on the
+//! members' socket and timer.
+//!
+//! [`OutOfService`] is the state, without I/O; [`crate::members`] passes it messages and the time. The
+//! protocol itself is in `cloverhollow_out`.
+
+mod fleet_state;
+mod leave;
+mod messages;
+mod persistence;
+mod protocol;
+mod status_page;
+
+pub use leave::LeaveOutcome;
+pub(crate) use leave::{enter_service_when_ready, persist, Signals};
+
+use cloverhollow_members::View;
+use cloverhollow_out::{
+    Asker, AskerSettings, Broken, Clerk, Granted, Limits, Most, Place, Register, Seen, Subject, Term, Word,
+    World,
+};
+use cloverhollow_settings::FrontSettings;
+use messages::PermitMessage;
+use persistence::PermitFile;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Path at the side address where an operator asks this front to leave service.
+pub(crate) const PATH: &str = "/v1/out";
+/// Minimum delay between two proposals; up to the same again is added as jitter.
+const MIN_PROPOSAL_DELAY: Duration = Duration::from_millis(250);
+/// Interval at which the fleet is evaluated when its view does not change.
+const VIEW_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between readiness queries, while this front wants to leave.
+const QUERY_INTERVAL: Duration = Duration::from_millis(300);
+/// Maximum number of members queried at a time.
+const MAX_QUERIED: usize = 64;
+/// Maximum number of acceptor replies that wait for the disk; further ones are dropped, as the network may
+/// drop any.
+const MAX_DELAYED_REPLIES: usize = 256;
+
+/// Change that is proposed to the register.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PendingChange {
+    Grant,
+    GiveBack(u64),
+}
+
+/// Permit as granted by the register.
+#[derive(Clone, Copy, Debug)]
+struct HeldPermit {
+    granted: Granted,
+    term: Term,
+    /// State version that must have been attempted to be written before the permit is used.
+    state_version: u64,
+}
+
+#[derive(Debug)]
+pub(crate) struct OutOfService {
+    name: String,
+    own_address: SocketAddr,
+    incarnation: u64,
+    subject: Subject,
+    place: Place,
+    lease_duration: Duration,
+    forget_after: Duration,
+    witnesses: Vec<SocketAddr>,
+    limits: Limits,
+    acceptor: Option<Clerk>,
+    proposer: Asker,
+    pending_change: Option<PendingChange>,
+    next_proposal: Duration,
+    /// True if this front is to leave service.
+    leaving: bool,
+    /// True once this front accepts viewers.
+    in_service: bool,
+    held_permit: Option<HeldPermit>,
+    /// Incarnations that requested a permit and have not returned it: previous ones until this one is in
+    /// service, its own if it stays.
+    unreturned: Vec<u64>,
+    /// True once a member's full list has arrived since the start.
+    list_received: bool,
+    last_certain_at: Option<Duration>,
+    fleet_state: World,
+    /// View number and time of the last evaluation.
+    last_evaluation: Option<(u64, Duration)>,
+    /// Reason why the last proposal failed.
+    denial_reason: String,
+    last_register: Option<(Duration, Register)>,
+    state_file: Option<PermitFile>,
+    /// Incremented by each change of the persisted state.
+    state_version: u64,
+    attempted_version: u64,
+    persisted_version: u64,
+    delayed_replies: VecDeque<(u64, SocketAddr, Word)>,
+    outgoing: Vec<(SocketAddr, PermitMessage)>,
+    /// Incarnations that reported that they accept viewers, by address; current members only.
+    ready_incarnations: BTreeMap<SocketAddr, u64>,
+    /// Live members that have not reported that they accept viewers.
+    unconfirmed: Vec<(SocketAddr, u64)>,
+    next_query: Duration,
+}
+
+impl OutOfService {
+    /// Creates the state, if permits are enabled. `own_address`: this front's datagram address;
+    /// `incarnation`: random token drawn at the start.
+    pub(crate) fn open(
+        settings: &FrontSettings,
+        now: Duration,
+        own_address: SocketAddr,
+        incarnation: u64,
+    ) -> Option<OutOfService> {
+        let (permit_settings, members) = (&settings.out, &settings.members);
+        if !permit_settings.is_on() {
+            return None;
+        }
+        let file = PermitFile::from_settings(settings);
+        let persisted = file.as_ref().map(PermitFile::read).unwrap_or_default();
+        let (lease, witnesses) = (permit_settings.lease_ms.get(), members.witnesses.clone());
+        let is_witness = witnesses.contains(&own_address);
+        let front_limits = Most {
+            fleet: permit_settings.fleet.value as u16,
+            hall: permit_settings.hall.get() as u16,
+            rack: u16::MAX,
+        };
+        let no_servers = Most { fleet: 0, hall: 0, rack: 0 };
+        let unsure_ms = members.suspicion_ms.get().as_millis() as u32;
+        let proposer_settings = AskerSettings {
+            me: own_address,
+            life: incarnation,
+            witnesses: witnesses.clone(),
+            longest: lease,
+            seed: fastrand::u64(..),
+        };
+        Some(OutOfService {
+            name: settings.instance.name.as_str().into(),
+            own_address,
+            incarnation,
+            subject: fleet_state::front_subject(settings.instance.name.as_str()),
+            place: fleet_state::front_place(settings.instance.hall.as_str()),
+            lease_duration: lease,
+            forget_after: permit_settings.forget_ms.get(),
+            witnesses,
+            limits: Limits {
+                fronts: front_limits,
+                servers: no_servers,
+                copies: 0,
+                cells: 0,
+                free: None,
+                unsure_ms,
+            },
+            acceptor: is_witness
+                .then(|| Clerk::new(now, own_address, incarnation, lease, persisted.acceptor)),
+            proposer: Asker::new(proposer_settings),
+            pending_change: None,
+            next_proposal: now,
+            leaving: false,
+            in_service: false,
+            held_permit: None,
+            unreturned: persisted.unreturned,
+            list_received: false,
+            last_certain_at: None,
+            fleet_state: World::default(),
+            denial_reason: "not asked yet".into(),
+            last_register: None,
+            state_file: file,
+            state_version: 0,
+            attempted_version: 0,
+            persisted_version: 0,
+            last_evaluation: None,
+            delayed_replies: VecDeque::new(),
+            outgoing: Vec::new(),
+            ready_incarnations: BTreeMap::new(),
+            unconfirmed: Vec::new(),
+            next_query: now,
+        })
+    }
+
+    /// Evaluates the fleet, if the view has changed or the interval has passed.
+    pub(crate) fn update_view(&mut self, now: Duration, view: &View) {
+        if self.last_evaluation.is_some_and(|(number, at)| number == view.number && now < at + VIEW_INTERVAL)
+        {
+            return;
+        }
+        self.last_evaluation = Some((view.number, now));
+        if self.list_received && fleet_state::sees_witness_majority(view, &self.witnesses) {
+            self.last_certain_at = Some(now);
+        }
+        let uncertain_for = self.last_certain_at.map_or(Duration::MAX, |at| now.saturating_sub(at));
+        self.update_readiness(view);
+        self.fleet_state =
+            fleet_state::from_view(now, view, &self.ready_incarnations, self.forget_after, uncertain_for);
+    }
+
+    /// Records that a member's full list has arrived: deaths before this front's start are known.
+    pub(crate) fn set_list_received(&mut self) {
+        self.list_received = true;
+    }
+
+    pub(crate) fn is_list_received(&self) -> bool {
+        self.list_received
+    }
+
+    /// Records that this front accepts viewers.
+    pub(crate) fn set_in_service(&mut self) {
+        self.in_service = true;
+    }
+
+    /// Sets whether this front is to leave service.
+    pub(crate) fn set_leaving(&mut self, leaving: bool) {
+        self.leaving = leaving;
+        if !leaving {
+            // The permit is not used from here on. It is recorded as unreturned since the proposal, and is
+            // returned.
+            self.held_permit = None;
+        }
+    }
+
+    /// Returns the term of a permit under which this front may leave now. Must be called again at each use.
+    pub(crate) fn usable_permit(&self, now: Duration) -> Option<Term> {
+        self.held_permit
+            .filter(|h| h.granted.at(now) && h.state_version <= self.attempted_version)
+            .map(|h| h.term)
+    }
+
+    /// Checks the invariants.
+    ///
+    /// # Errors
+    /// The first invariant that is violated.
+    pub(crate) fn check(&self) -> Result<(), Broken> {
+        let require = |holds, what| match holds {
+            true => Ok(()),
+            false => Err(Broken { machine: "front's permits", who: self.incarnation, what }),
+        };
+        require(
+            self.persisted_version <= self.attempted_version && self.attempted_version <= self.state_version,
+            "a state version is persisted before it exists",
+        )?;
+        require(
+            self.held_permit.is_none() || (self.leaving && self.unreturned.contains(&self.incarnation)),
+            "a held permit is not recorded as unreturned",
+        )?;
+        require(
+            self.unreturned.len() <= persistence::MAX_UNRETURNED
+                && self.delayed_replies.len() <= MAX_DELAYED_REPLIES,
+            "bounds",
+        )?;
+        self.acceptor.as_ref().map_or(Ok(()), Clerk::check)?;
+        self.proposer.check()
+    }
+
+    /// Returns the reason why the last proposal failed.
+    pub(crate) fn denial_reason(&self) -> String {
+        self.denial_reason.clone()
+    }
+
+    fn seen<'a>(world: &'a World, limits: &'a Limits) -> Seen<'a> {
+        Seen { world, limits }
+    }
+}
--- /dev/null
+++ b/crates/front/src/out_of_service/status_page.rs
@@ -0,0 +1,49 @@
+//! Operators' status page of permits.
+
+use super::{fleet_state, OutOfService};
+use cloverhollow_members::View;
+use cloverhollow_out::{Sight, Standing};
+use serde_json::{json, Value};
+use std::time::Duration;
+
+impl OutOfService {
+    /// Returns the last known register, the fronts that count as out of service, and this front's own state.
+    pub(crate) fn status_page(&self, now: Duration, view: &View) -> Value {
+        let millis = |d: Duration| d.as_millis() as u64;
+        let name = |subject| {
+            let member = view.members.values().find(|s| fleet_state::front_subject(&s.who.name) == subject);
+            member.map_or_else(|| fleet_state::format_subject(subject), |s| s.who.name.to_string())
+        };
+        let permits = self.last_register.iter().flat_map(|(_, r)| &r.permits).map(|p| {
+            json!({"name": name(p.subject), "subject": fleet_state::format_subject(p.subject), "term": p.term.0,
+                "lease_ms": p.lease_ms, "holder": format!("{:016x}", p.holder)})
+        });
+        // Readiness is queried only while this front wants to leave.
+        let counts_as_out = |s| s != Standing::Serves && (s != Standing::Out || self.leaving);
+        let out_of_service =
+            self.fleet_state.known.iter().filter(|(s, k)| **s != self.subject && counts_as_out(k.standing));
+        let witness_state = self.acceptor.as_ref().map(|c| match c.sight(now) {
+            Sight::Sees => "sees",
+            Sight::Waited => "waited",
+            Sight::Blind => "blind",
+        });
+        let uncertain_ms =
+            (self.fleet_state.unsure_for != Duration::MAX).then_some(millis(self.fleet_state.unsure_for));
+        json!({
+            "fleet": self.limits.fronts.fleet, "hall": self.limits.fronts.hall,
+            "wanted": self.leaving, "held": self.held_permit.is_some_and(|h| h.granted.at(now)),
+            "owed": self.unreturned.len(), "reason": self.denial_reason, "witness": witness_state, "unsure_ms": uncertain_ms,
+            "register": self.last_register.as_ref().map(|(at, r)| json!({
+                "term": r.term.0, "heard_ms": millis(now.saturating_sub(*at)), "permits": permits.collect::<Vec<_>>(),
+            })),
+            "counted_out": out_of_service.map(|(s, k)| json!({
+                "name": name(*s), "subject": fleet_state::format_subject(*s),
+                "why": match k.standing {
+                    Standing::Gone => "gone",
+                    Standing::Doubted => "doubted",
+                    _ => "did not say that it takes viewers",
+                },
+            })).collect::<Vec<_>>(),
+        })
+    }
+}
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -1,11 +1,12 @@
-//! The exchange of knowledge with peers: a warm start, then now and then what changed.
+//! Exchange of knowledge with peers: a warm start, then periodic deltas.
 //!
-//! Whom to ask and when is [`Warmer`]'s; here questions go over HTTP to peers' side addresses, and answers by
-//! mail to the desk. A question has `peers.deadline_ms` at most; one that is cut off goes on where it was cut
-//! (RFC 9110, section 14, by range and entity tag). Dropping the task drops its questions.
+//! [`Warmer`] decides which peer to ask and when. This module sends the requests over HTTP to the peers' side
+//! addresses and passes the responses to the event loop. A request is limited by `peers.deadline_ms`; a
+//! transfer that is cut off resumes where it stopped (RFC 9110, section 14, by range and entity tag).
+//! Dropping the task drops its requests.
 
-use crate::desk::Mail;
-use crate::side::State;
+use crate::event_loop::LoopEvent;
+use crate::side_endpoint::FrontStatus;
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, ResponseHead, Target};
@@ -24,221 +25,231 @@
 
 /// Path of the exchange at the side address; see docs/openapi/knowledge.yaml.
 pub(crate) const PATH: &str = "/v1/knowledge";
-/// Names of what a question says.
-pub(crate) const NONCE: &str = "nonce";
-pub(crate) const AFTER: &str = "after";
+/// Names of the query arguments.
+pub(crate) const NONCE_ARG: &str = "nonce";
+pub(crate) const AFTER_ARG: &str = "after";
 pub(crate) const FORMAT_ARG: &str = "format";
-pub(crate) const FROM: &str = "from";
-/// The hold-off in milliseconds, beside `Retry-After` in whole seconds.
-pub(crate) const HOLD_OFF: &str = "cloverhollow-retry-after-ms";
-/// Times that a cut answer is gone on with.
-const RESUMES: usize = 3;
-/// Most outcomes of merges that wait to be read.
-pub(crate) const MOST_OUTCOMES: usize = 256;
+pub(crate) const FROM_ARG: &str = "from";
+/// Response header with the retry-after delay in milliseconds, beside `Retry-After` in whole seconds.
+pub(crate) const RETRY_AFTER_MS_HEADER: &str = "cloverhollow-retry-after-ms";
+/// Maximum number of times that a transfer is resumed.
+const MAX_RESUMES: usize = 3;
+/// Capacity of the queue of merge outcomes.
+pub(crate) const MAX_MERGE_OUTCOMES: usize = 256;
 
-/// The desk's word on a merge.
-pub(crate) type Outcome = (SocketAddr, Result<PeerStatus, MergeError>);
+/// Result of merging one peer's message, reported by the event loop.
+pub(crate) type MergeOutcome = (SocketAddr, Result<PeerStatus, MergeError>);
 
-/// How a question ended.
-enum Got {
-    Message { asked_at: Duration, nonce: u64, message: Box<Message> },
+/// Result of a request to a peer.
+enum PeerReply {
+    Message { requested_at: Duration, nonce: u64, message: Box<Message> },
     Busy(Duration),
     Failed,
 }
 
-struct Peers {
+struct PeerExchange {
     shared: Arc<Shared>,
-    state: Arc<State>,
-    me: Option<SocketAddr>,
+    status: Arc<FrontStatus>,
+    own_address: Option<SocketAddr>,
     warmer: Warmer,
-    /// Last change heard of each peer: what its next delta is asked after.
-    heard: BTreeMap<SocketAddr, u64>,
-    questions: JoinSet<(SocketAddr, Got)>,
+    /// Sequence number of the last change received from each peer; its next delta starts there.
+    last_seq: BTreeMap<SocketAddr, u64>,
+    requests: JoinSet<(SocketAddr, PeerReply)>,
 }
 
-/// Runs for as long as the front does. `me`: the own side address.
+/// Runs for as long as the front does. `own_address`: this front's own side address.
 pub(crate) async fn run(
     shared: Arc<Shared>,
-    state: Arc<State>,
-    me: Option<SocketAddr>,
-    mut outcomes: mpsc::Receiver<Outcome>,
+    status: Arc<FrontStatus>,
+    own_address: Option<SocketAddr>,
+    mut merge_outcomes: mpsc::Receiver<MergeOutcome>,
 ) {
-    let p = &shared.settings.peers;
-    let set = WarmSettings {
-        parallel: p.parallel.count(),
-        enough: p.enough.count(),
-        hedge: p.hedge_ms.get(),
-        deadline: p.deadline_ms.get(),
-        jitter: p.jitter_ms.get(),
-        horizon: p.horizon_ms.get(),
+    let settings = &shared.settings.peers;
+    let warm_settings = WarmSettings {
+        parallel: settings.parallel.count(),
+        enough: settings.enough.count(),
+        hedge: settings.hedge_ms.get(),
+        deadline: settings.deadline_ms.get(),
+        jitter: settings.jitter_ms.get(),
+        horizon: settings.horizon_ms.get(),
     };
-    let warmer = Warmer::new(shared.clock.now(), set, fastrand::u64(..), me, &p.addresses);
-    let every = Some(p.every_ms.get()).filter(|e| !e.is_zero());
-    let mut peers = Peers {
-        state,
-        me,
+    let warmer =
+        Warmer::new(shared.clock.now(), warm_settings, fastrand::u64(..), own_address, &settings.addresses);
+    let delta_interval = Some(settings.every_ms.get()).filter(|interval| !interval.is_zero());
+    let mut exchange = PeerExchange {
+        status,
+        own_address,
         warmer,
-        heard: BTreeMap::new(),
-        questions: JoinSet::new(),
+        last_seq: BTreeMap::new(),
+        requests: JoinSet::new(),
         shared: shared.clone(),
     };
-    let mut next_delta = shared.clock.now() + every.unwrap_or_default();
+    let mut next_delta = shared.clock.now() + delta_interval.unwrap_or_default();
     loop {
-        peers.tell_level();
+        exchange.publish_level();
         let now = shared.clock.now();
-        for ask in peers.warmer.due(now) {
-            peers.ask(ask, None);
+        for ask in exchange.warmer.due(now) {
+            exchange.request(ask, None);
         }
-        if every.is_some_and(|_| now >= next_delta) {
-            next_delta = now + every.unwrap_or_default();
-            peers.delta();
+        if delta_interval.is_some_and(|_| now >= next_delta) {
+            next_delta = now + delta_interval.unwrap_or_default();
+            exchange.request_delta();
         }
-        let due = peers.warmer.next_due().into_iter().chain(every.map(|_| next_delta)).min();
+        let due = exchange.warmer.next_due().into_iter().chain(delta_interval.map(|_| next_delta)).min();
         let due = due.unwrap_or(now + Duration::from_secs(3600));
         tokio::select! {
             () = sleep_until(shared.clock.instant(due)) => {}
-            Some(Ok((peer, got))) = peers.questions.join_next() => peers.got(peer, got).await,
-            Some((peer, outcome)) = outcomes.recv() => peers.merged(peer, outcome),
+            Some(Ok((peer, reply))) = exchange.requests.join_next() => exchange.handle_reply(peer, reply).await,
+            Some((peer, outcome)) = merge_outcomes.recv() => exchange.handle_merge(peer, outcome),
         }
     }
 }
 
-impl Peers {
-    fn tell_level(&self) {
-        let (level, why) = self.warmer.level();
-        if self.state.set_level(level, why) {
-            tracing::info!(level = level.word(), why = why.words(), "how warm this front is");
+impl PeerExchange {
+    fn publish_level(&self) {
+        let (level, reason) = self.warmer.level();
+        if self.status.set_level(level, reason) {
+            tracing::info!(level = level.word(), why = reason.words(), "warm-up level changed");
         }
-        self.state.set_peers(self.warmer.peers().collect());
+        self.status.add_peers(self.warmer.peers().collect());
     }
 
-    fn ask(&mut self, ask: Ask, after: Option<u64>) {
+    fn request(&mut self, ask: Ask, after: Option<u64>) {
         self.shared.stats.peer_requests.fetch_add(1, Relaxed);
-        let (shared, me) = (self.shared.clone(), self.me);
-        self.questions.spawn(async move {
-            let within = shared.settings.peers.deadline_ms.get();
-            let got = timeout(within, question(&shared, me, ask, after)).await;
-            (ask.peer, got.unwrap_or(Got::Failed))
+        let (shared, own_address) = (self.shared.clone(), self.own_address);
+        self.requests.spawn(async move {
+            let deadline = shared.settings.peers.deadline_ms.get();
+            let reply = timeout(deadline, fetch_message(&shared, own_address, ask, after)).await;
+            (ask.peer, reply.unwrap_or(PeerReply::Failed))
         });
     }
 
-    /// What changed at one peer, drawn by chance, since it was last asked.
-    fn delta(&mut self) {
-        if self.warmer.level().0 == Level::Warming || !self.questions.is_empty() {
+    /// Asks a random peer for its changes since the last request.
+    fn request_delta(&mut self) {
+        if self.warmer.level().0 == Level::Warming || !self.requests.is_empty() {
             return;
         }
-        let all: Vec<SocketAddr> = self.warmer.peers().collect();
-        if let Some(peer) = fastrand::choice(all.iter()) {
-            let after = self.heard.get(peer).copied();
-            self.ask(Ask { peer: *peer, nonce: fastrand::u64(1..) }, after);
+        let candidates: Vec<SocketAddr> = self.warmer.peers().collect();
+        if let Some(peer) = fastrand::choice(candidates.iter()) {
+            let after = self.last_seq.get(peer).copied();
+            self.request(Ask { peer: *peer, nonce: fastrand::u64(1..) }, after);
         }
     }
 
-    async fn got(&mut self, peer: SocketAddr, got: Got) {
-        match got {
-            Got::Message { asked_at, nonce, message } => {
-                let told = Input::PeerMessage { peer, requested_at: asked_at, nonce, message };
-                let _ = self.shared.desk.send(Mail::of(told)).await;
+    async fn handle_reply(&mut self, peer: SocketAddr, reply: PeerReply) {
+        match reply {
+            PeerReply::Message { requested_at, nonce, message } => {
+                let input = Input::PeerMessage { peer, requested_at, nonce, message };
+                let _ = self.shared.event_tx.send(LoopEvent::from_input(input)).await;
             }
-            Got::Busy(after) => self.warmer.busy(self.shared.clock.now(), peer, after),
-            Got::Failed => {
-                // It may have started anew, with numbers of its own.
-                self.heard.remove(&peer);
+            PeerReply::Busy(after) => self.warmer.busy(self.shared.clock.now(), peer, after),
+            PeerReply::Failed => {
+                // The peer may have restarted, with its own sequence numbers.
+                self.last_seq.remove(&peer);
                 self.warmer.failed(peer);
             }
         }
     }
 
-    fn merged(&mut self, peer: SocketAddr, outcome: Result<PeerStatus, MergeError>) {
+    fn handle_merge(&mut self, peer: SocketAddr, outcome: Result<PeerStatus, MergeError>) {
         match outcome {
-            Ok(said) => {
-                self.heard.insert(peer, said.seq);
-                self.warmer.learn(&said.peers);
-                self.warmer.answered(peer, said.level);
+            Ok(peer_status) => {
+                self.last_seq.insert(peer, peer_status.seq);
+                self.warmer.learn(&peer_status.peers);
+                self.warmer.answered(peer, peer_status.level);
             }
             Err(_) => {
-                self.heard.remove(&peer);
+                self.last_seq.remove(&peer);
                 self.warmer.failed(peer);
             }
         }
     }
 }
 
-/// Asks until the answer is whole, or it is no use.
-async fn question(shared: &Shared, me: Option<SocketAddr>, ask: Ask, after: Option<u64>) -> Got {
-    let asked_at = shared.clock.now();
-    let (mut bytes, mut tag) = (Vec::new(), None);
-    for _ in 0..=RESUMES {
-        match once(shared, me, ask, after, &mut bytes, &mut tag).await {
+/// Requests the message until it is complete or cannot be had.
+async fn fetch_message(
+    shared: &Shared,
+    own_address: Option<SocketAddr>,
+    ask: Ask,
+    after: Option<u64>,
+) -> PeerReply {
+    let requested_at = shared.clock.now();
+    let (mut bytes, mut etag) = (Vec::new(), None);
+    for _ in 0..=MAX_RESUMES {
+        match exchange_once(shared, own_address, ask, after, &mut bytes, &mut etag).await {
             Ok(None) => {
                 shared.stats.peer_bytes.fetch_add(bytes.len() as u64, Relaxed);
                 return match Message::decode(&bytes) {
-                    Ok(message) => Got::Message { asked_at, nonce: ask.nonce, message: Box::new(message) },
+                    Ok(message) => {
+                        PeerReply::Message { requested_at, nonce: ask.nonce, message: Box::new(message) }
+                    }
                     Err(error) => {
-                        tracing::warn!(peer = %ask.peer, %error, "a peer's word cannot be read");
-                        Got::Failed
+                        tracing::warn!(peer = %ask.peer, %error, "peer message cannot be decoded");
+                        PeerReply::Failed
                     }
                 };
             }
-            Ok(Some(after)) => return Got::Busy(after),
-            // Cut off: with a tag it goes on from there, else from the start.
-            Err(_) if tag.is_some() => sleep(Duration::from_millis(10)).await,
-            Err(_) => return Got::Failed,
+            Ok(Some(after)) => return PeerReply::Busy(after),
+            // With an entity tag the transfer resumes where it was cut, otherwise it has failed.
+            Err(_) if etag.is_some() => sleep(Duration::from_millis(10)).await,
+            Err(_) => return PeerReply::Failed,
         }
     }
-    Got::Failed
+    PeerReply::Failed
 }
 
-/// One exchange. `Some`: the peer is busy for so long.
-async fn once(
+/// Runs one HTTP exchange. Returns the retry-after delay if the peer is busy.
+async fn exchange_once(
     shared: &Shared,
-    me: Option<SocketAddr>,
+    own_address: Option<SocketAddr>,
     ask: Ask,
     after: Option<u64>,
     bytes: &mut Vec<u8>,
-    tag: &mut Option<String>,
+    etag: &mut Option<String>,
 ) -> Result<Option<Duration>, WireError> {
-    let bad = |what: &'static str| WireError::Io(std::io::Error::new(std::io::ErrorKind::InvalidData, what));
+    let invalid_data =
+        |what: &'static str| WireError::Io(std::io::Error::new(std::io::ErrorKind::InvalidData, what));
     let mut conn = connect(ask.peer).await?;
-    let mut path = format!("{PATH}?{NONCE}={}&{FORMAT_ARG}={FORMAT}", ask.nonce);
+    let mut path = format!("{PATH}?{NONCE_ARG}={}&{FORMAT_ARG}={FORMAT}", ask.nonce);
     if let Some(after) = after {
-        path += &format!("&{AFTER}={after}");
+        path += &format!("&{AFTER_ARG}={after}");
     }
-    if let Some(me) = me {
-        path += &format!("&{FROM}={me}");
+    if let Some(own_address) = own_address {
+        path += &format!("&{FROM_ARG}={own_address}");
     }
-    let target = Target::parse(path.into()).ok_or_else(|| bad("no target"))?;
+    let target = Target::parse(path.into()).ok_or_else(|| invalid_data("invalid request target"))?;
     let mut head = RequestHead::get(target);
     head.headers.push("host", ask.peer.to_string());
     head.headers.push("via", shared.via.clone());
-    if let Some(tag) = tag.as_ref().filter(|_| !bytes.is_empty()) {
+    if let Some(value) = etag.as_ref().filter(|_| !bytes.is_empty()) {
         head.headers.push("range", format!("bytes={}-", bytes.len()));
-        head.headers.push("if-range", tag.clone());
+        head.headers.push("if-range", value.clone());
     }
     conn.send_request(head, Bytes::new()).await?;
     let head = conn.read_head().await?;
     match head.status {
         206 => {}
         200 => bytes.clear(),
-        503 => return Ok(Some(hold_off(&head))),
+        503 => return Ok(Some(retry_after(&head))),
         _ => {
-            *tag = None;
-            return Err(bad("refused"));
+            *etag = None;
+            return Err(invalid_data("refused"));
         }
     }
-    *tag = head.headers.text("etag").map(str::to_string);
+    *etag = head.headers.text("etag").map(str::to_string);
     while let Some(data) = conn.read_body_chunk().await? {
         if bytes.len() + data.len() > MOST_BYTES {
-            *tag = None;
-            return Err(bad("too long"));
+            *etag = None;
+            return Err(invalid_data("message too long"));
         }
         bytes.extend_from_slice(&data);
     }
     Ok(None)
 }
 
-fn hold_off(head: &ResponseHead) -> Duration {
+fn retry_after(head: &ResponseHead) -> Duration {
     let number = |name: &str| head.headers.text(name).and_then(|t| t.parse::<u64>().ok());
-    let ms = number(HOLD_OFF).or_else(|| number("retry-after").map(|s| s * 1000)).unwrap_or(1000);
+    let ms =
+        number(RETRY_AFTER_MS_HEADER).or_else(|| number("retry-after").map(|s| s * 1000)).unwrap_or(1000);
     Duration::from_millis(ms.min(60_000))
 }
--- a/crates/front/src/release.rs
+++ b/crates/front/src/release.rs
@@ -1,7 +1,7 @@
-//! Tells servers that sessions are over, so that they let go of what they may hold.
+//! Reports of ended sessions to servers, so that they release the resources of those sessions.
 //!
-//! One task a server, with a queue of `servers.releases`; what does not fit or cannot be told is left to the
-//! server's own idle time.
+//! Each server has one task with a queue of `servers.releases` sessions. Sessions that do not fit, or whose
+//! report fails, end by the server's own idle time-out.
 
 use crate::Shared;
 use bytes::Bytes;
@@ -15,48 +15,48 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Most sessions told in one report.
-const BATCH: usize = 64;
-/// Most bytes of a server's answer to a report.
-const MOST_ANSWER: usize = 4_096;
+/// Maximum number of sessions in one report.
+const MAX_BATCH_SESSIONS: usize = 64;
+/// Maximum length of a server's response to a report, bytes.
+const MAX_RESPONSE_BYTES: usize = 4_096;
 
-pub(crate) struct Releases {
+pub(crate) struct SessionEndReporter {
     shared: Arc<Shared>,
     servers: HashMap<ServerId, (SocketAddr, mpsc::Sender<SessionId>)>,
 }
 
-impl Releases {
+impl SessionEndReporter {
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
-        Releases { shared, servers: HashMap::new() }
+        SessionEndReporter { shared, servers: HashMap::new() }
     }
 
-    /// Queues it. Never waits.
-    pub(crate) fn tell(&mut self, server: ServerId, address: SocketAddr, sid: SessionId) {
-        let known = self.servers.get(&server).filter(|(a, tx)| *a == address && !tx.is_closed());
-        let queue = match known {
+    /// Queues the end of a session; never waits.
+    pub(crate) fn report(&mut self, server: ServerId, address: SocketAddr, sid: SessionId) {
+        let existing = self.servers.get(&server).filter(|(a, tx)| *a == address && !tx.is_closed());
+        let queue = match existing {
             Some((_, tx)) => tx.clone(),
             None => {
                 let (tx, rx) = mpsc::channel(self.shared.settings.servers.releases.count());
-                tokio::spawn(run(server, address, rx, self.shared.clone()));
+                tokio::spawn(send_reports(server, address, rx, self.shared.clone()));
                 self.servers.insert(server, (address, tx.clone()));
                 tx
             }
         };
         if queue.try_send(sid).is_err() {
-            tracing::debug!(server, "too many ends waiting to be told; left to the server's idle time");
+            tracing::debug!(server, "session-end queue full; left to the server's idle time-out");
         }
     }
 }
 
-async fn run(
+async fn send_reports(
     server: ServerId,
     address: SocketAddr,
     mut queue: mpsc::Receiver<SessionId>,
     shared: Arc<Shared>,
 ) {
     let mut batch = Vec::new();
-    while queue.recv_many(&mut batch, BATCH).await > 0 {
-        let line = |sid: &SessionId| {
+    while queue.recv_many(&mut batch, MAX_BATCH_SESSIONS).await > 0 {
+        let report_line = |sid: &SessionId| {
             let record = Record {
                 sid: Some((**sid).into()),
                 sta: Some(PlayState::Quit),
@@ -66,21 +66,21 @@
             };
             record.line() + "\n"
         };
-        let body: String = batch.drain(..).map(|sid| line(&sid)).collect();
+        let body: String = batch.drain(..).map(|sid| report_line(&sid)).collect();
         let Some(target) = Target::parse(shared.settings.mapping.reports.clone().into()) else { return };
         let mut head = RequestHead::post(target, body.len());
         head.headers.push("host", address.to_string());
         head.headers.push("via", shared.via.clone());
         head.headers.push("content-type", REPORT_TYPE);
-        let told = async {
-            let mut lease = shared.pools.lease(server, address, false).await.ok()?;
-            lease.conn().exchange(head, Bytes::from(body), MOST_ANSWER).await.ok()?;
-            lease.give_back();
+        let exchange = async {
+            let mut connection = shared.pools.acquire(server, address, false).await.ok()?;
+            connection.client().exchange(head, Bytes::from(body), MAX_RESPONSE_BYTES).await.ok()?;
+            connection.return_to_pool();
             Some(())
         };
-        let within = shared.settings.servers.object_ms.get();
-        if timeout(within, told).await.ok().flatten().is_none() {
-            tracing::debug!(server, "could not tell ends of sessions");
+        let time_limit = shared.settings.servers.object_ms.get();
+        if timeout(time_limit, exchange).await.ok().flatten().is_none() {
+            tracing::debug!(server, "session ends could not be reported");
         }
     }
 }
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -1,6 +1,6 @@
-//! What goes to a server and what its answers tell: CMCD out, CMSD in.
+//! Requests to servers and the hints in their responses: CMCD out, CMSD in.
 
-use crate::pool::Lease;
+use crate::connection_pool::PooledConnection;
 use crate::Shared;
 use cloverhollow_hints::cmcd::{Custom, Kbps, Record, Value};
 use cloverhollow_hints::cmsd::{self, Hop};
@@ -9,46 +9,47 @@
 use cloverhollow_session::{Load, Route, Setup};
 use std::net::SocketAddr;
 
-/// The custom key that marks a set-up, with the attempt's number. Without it a server never sets up.
+/// Custom CMCD key that marks a set-up and holds the attempt number. A server sets nothing up without it.
 pub(crate) const SETUP_KEY: &str = "com.cloverhollow-setup";
-/// The prefix of our own custom keys: a viewer's are not passed on.
+/// Prefix of this project's custom keys; such keys from a viewer are not forwarded.
 const OWN_PREFIX: &str = "com.cloverhollow-";
-/// The reason by which a server says that it does not hold the session.
+/// CMSD reason by which a server reports that it does not hold the session.
 const UNKNOWN_SESSION: &str = "unknown-session";
 
-/// A viewer's request, as a server is asked for it.
+/// Viewer's request, to be forwarded to a server.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct ViewerRequest {
     pub(crate) target: Target,
     pub(crate) hints: Record,
 }
 
-/// A set-up's answer under way.
+/// Server's response to a set-up, whose body is still to be relayed.
 #[derive(Debug)]
-pub(crate) struct SetupAnswer {
+pub(crate) struct SetupResponse {
     pub(crate) head: ResponseHead,
-    pub(crate) lease: Lease,
+    pub(crate) connection: PooledConnection,
 }
 
-fn head(
-    ask: &Ask,
+fn request_head(
+    request: &ViewerRequest,
     address: SocketAddr,
     sid: &str,
     kbps: u32,
-    setup: Option<u32>,
+    attempt_number: Option<u32>,
     shared: &Shared,
 ) -> RequestHead {
-    let mut hints = ask.hints.clone();
+    let mut hints = request.hints.clone();
     hints.sid = Some(sid.into());
     (hints.br, hints.rtp) = (Some(Kbps(kbps)), Some(Kbps(kbps)));
-    // The module's rung is what the server goes by; what the viewer asked at more must not look like it.
+    // The server goes by the rung of the placement policy, so a lower top bit rate requested by the viewer is
+    // removed.
     hints.tb = hints.tb.filter(|tb| tb.0 >= kbps);
     hints.custom.retain(|c| !c.key.starts_with(OWN_PREFIX));
-    if let Some(number) = setup {
+    if let Some(number) = attempt_number {
         let value = Value::Plain(number.to_string().into());
         hints.custom.push(Custom { key: SETUP_KEY.into(), value });
     }
-    let mut head = RequestHead::get(ask.target.clone());
+    let mut head = RequestHead::get(request.target.clone());
     head.headers.push("host", address.to_string());
     head.headers.push("via", shared.via.clone());
     for group in Group::ALL {
@@ -60,48 +61,51 @@
     head
 }
 
-/// The request of a set-up.
-pub(crate) fn setup_head(setup: &Setup<std::sync::Arc<Ask>>, shared: &Shared) -> RequestHead {
-    head(&setup.payload, setup.address, &setup.sid, setup.kbps, Some(setup.attempt.number), shared)
+/// Returns the request that sets a session up.
+pub(crate) fn setup_request(setup: &Setup<std::sync::Arc<ViewerRequest>>, shared: &Shared) -> RequestHead {
+    request_head(&setup.payload, setup.address, &setup.sid, setup.kbps, Some(setup.attempt.number), shared)
 }
 
-/// The request of a later object.
-pub(crate) fn object_head(ask: &Ask, route: &Route, shared: &Shared) -> RequestHead {
-    head(ask, route.address, &route.sid, route.kbps(), None, shared)
+/// Returns the request for an object of an established session.
+pub(crate) fn object_request(request: &ViewerRequest, route: &Route, shared: &Shared) -> RequestHead {
+    request_head(request, route.address, &route.sid, route.kbps(), None, shared)
 }
 
-/// What an answer's head tells.
+/// Hints from the head of a server's response.
 #[derive(Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct ResponseHints {
     pub(crate) load: Load,
-    /// The set-up did not run.
-    pub(crate) unrun: bool,
-    /// The server does not hold the session.
-    pub(crate) unknown: bool,
-    /// The members of `CMSD-Dynamic` so far, as they came.
-    pub(crate) path: String,
+    /// True if the set-up was not executed.
+    pub(crate) not_executed: bool,
+    /// True if the server does not hold the session.
+    pub(crate) unknown_session: bool,
+    /// Members of `CMSD-Dynamic` as received.
+    pub(crate) cmsd_path: String,
 }
 
-/// Reads `CMSD-Dynamic`; the last member is the server's that we asked.
-pub(crate) fn told(head: &ResponseHead, kbps: u32) -> Told {
-    let Some(path) = head.headers.joined(cmsd::DYNAMIC) else { return Told::default() };
+/// Reads `CMSD-Dynamic`. Its last member is that of the server that was asked.
+pub(crate) fn response_hints(head: &ResponseHead, kbps: u32) -> ResponseHints {
+    let Some(cmsd_path) = head.headers.joined(cmsd::DYNAMIC) else { return ResponseHints::default() };
     let mut faults = Faults::default();
-    let hops = cmsd::read_dynamic(&path, &mut faults);
+    let hops = cmsd::read_dynamic(&cmsd_path, &mut faults);
     if faults.total() > 0 {
         tracing::debug!(dropped = %faults, "server hints dropped");
     }
-    let Some(hop) = hops.into_iter().next_back() else { return Told::default() };
-    let share = hop.throughput.filter(|_| kbps > 0).map(|etp| (f64::from(etp) / f64::from(kbps)).min(1.0));
-    Told {
+    let Some(hop) = hops.into_iter().next_back() else { return ResponseHints::default() };
+    let share = hop
+        .throughput
+        .filter(|_| kbps > 0)
+        .map(|throughput| (f64::from(throughput) / f64::from(kbps)).min(1.0));
+    ResponseHints {
         load: Load { link: hop.link, rack: hop.rack, share },
-        unrun: hop.unrun,
-        unknown: hop.reason.as_deref() == Some(UNKNOWN_SESSION),
-        path,
+        not_executed: hop.unrun,
+        unknown_session: hop.reason.as_deref() == Some(UNKNOWN_SESSION),
+        cmsd_path,
     }
 }
 
-/// Our own member, with what the route says.
-pub(crate) fn own_hop(shared: &Shared, route: Option<&Route>, delay_ms: u32) -> Hop {
+/// Returns this front's own CMSD member, with the rung of the route.
+pub(crate) fn own_cmsd_hop(shared: &Shared, route: Option<&Route>, delay_ms: u32) -> Hop {
     Hop {
         name: shared.settings.instance.name.as_str().into(),
         delay: Some(delay_ms),
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -1,10 +1,11 @@
-//! A viewer's connection: sequential requests, each with exactly one response. It holds at most a head of
-//! `listen.head_bytes`, a report of `listen.report_bytes` or one frame of a response. Time limits: `listen.idle_ms`
-//! between requests; `listen.head_ms` for a head once its first byte has arrived, and for a body.
+//! A viewer's connection: sequential requests, each with exactly one response. It buffers at most a head of
+//! `listen.head_bytes`, a report of `listen.report_bytes` or one frame of a response. Time limits:
+//! `listen.idle_ms` between requests; `listen.head_ms` for a head once its first byte has arrived, and for a
+//! body.
 
-use crate::desk::Mail;
+use crate::event_loop::LoopEvent;
 use crate::object;
-use crate::upstream::{self, Ask, Told};
+use crate::upstream::{self, ResponseHints, ViewerRequest};
 use crate::Shared;
 use cloverhollow_hints::cmcd::{self, Record, REPORT_TYPE};
 use cloverhollow_hints::cmsd;
@@ -23,18 +24,18 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Whether the connection serves on.
+/// State of the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Flow {
-    Next,
+pub(crate) enum Disposition {
+    KeepOpen,
     Close,
 }
 
-/// A viewer's connection and whether it stays open after the answer at hand.
+/// A viewer's connection, and whether it stays open after the current response.
 pub(crate) struct ViewerConn {
     pub(crate) framed: ServerConn,
     pub(crate) keep_alive: bool,
-    write: Duration,
+    write_timeout: Duration,
 }
 
 impl ViewerConn {
@@ -46,76 +47,81 @@
             ..Limits::default()
         };
         let framed = Framed::with_capacity(stream, ServerCodec::new(limits), 2048);
-        ViewerConn { framed, keep_alive: true, write: listen.write_ms.get() }
+        ViewerConn { framed, keep_alive: true, write_timeout: listen.write_ms.get() }
     }
 
-    /// Whether to go on, after a whole answer.
-    pub(crate) fn flow(&self) -> Flow {
+    /// Returns whether the connection stays open after a complete response.
+    pub(crate) fn disposition(&self) -> Disposition {
         if self.keep_alive {
-            Flow::Next
+            Disposition::KeepOpen
         } else {
-            Flow::Close
+            Disposition::Close
         }
     }
 
-    async fn send(&mut self, mut head: ResponseHead, body: &'static str) -> Flow {
+    async fn send(&mut self, mut head: ResponseHead, body: &'static str) -> Disposition {
         head.keep_alive = self.keep_alive;
         head.framing = cloverhollow_http::Framing::Length(body.len() as u64);
-        match timeout(self.write, write_response(&mut self.framed, head, body)).await {
-            Ok(Ok(())) => self.flow(),
-            _ => Flow::Close,
+        match timeout(self.write_timeout, write_response(&mut self.framed, head, body)).await {
+            Ok(Ok(())) => self.disposition(),
+            _ => Disposition::Close,
         }
     }
 
-    /// An answer without a session's hints.
-    pub(crate) async fn plain(&mut self, status: u16) -> Flow {
+    /// Sends a response without a body and without CMSD hints.
+    pub(crate) async fn send_status(&mut self, status: u16) -> Disposition {
         self.send(ResponseHead::new(status, 0), "").await
     }
 
-    /// An answer after which nothing more is read as a request: where the next one begins is unknown.
-    async fn last_word(mut self, status: u16) {
+    /// Sends a final response. Nothing more is parsed, because the start of the next request is unknown.
+    async fn send_final(mut self, status: u16) {
         self.keep_alive = false;
-        self.plain(status).await;
+        self.send_status(status).await;
         lingering_close(self.framed.into_inner()).await;
     }
 
-    async fn no_session(
+    async fn send_without_session(
         &mut self,
         status: u16,
         reason: &str,
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
         shared: &Shared,
-    ) -> Flow {
+    ) -> Disposition {
         let mut head = ResponseHead::new(status, 0);
-        if let Some(after) = after {
-            // Whole seconds only (RFC 9110, section 10.2.3): never sooner than the hold-off.
-            head.headers.push("retry-after", after.as_secs_f64().ceil().to_string());
+        if let Some(retry_after) = retry_after {
+            // Whole seconds only (RFC 9110, section 10.2.3), rounded up so that no viewer retries too early.
+            head.headers.push("retry-after", retry_after.as_secs_f64().ceil().to_string());
         }
-        let hop = cmsd::Hop { reason: Some(reason.into()), ..upstream::own_hop(shared, None, 0) };
+        let hop = cmsd::Hop { reason: Some(reason.into()), ..upstream::own_cmsd_hop(shared, None, 0) };
         head.headers.push(cmsd::DYNAMIC, hop.write());
         self.send(head, "").await
     }
 
-    /// 503: nothing ran, come back after this.
-    pub(crate) async fn refuse(&mut self, after: Duration, reason: &str, shared: &Shared) -> Flow {
-        self.no_session(503, reason, Some(after), shared).await
+    /// Sends 503: no set-up was executed, and the viewer may retry after `delay`.
+    pub(crate) async fn refuse(
+        &mut self,
+        retry_after: Duration,
+        reason: &str,
+        shared: &Shared,
+    ) -> Disposition {
+        self.send_without_session(503, reason, Some(retry_after), shared).await
     }
 
-    /// 502 or 504: something may have run.
-    pub(crate) async fn fail(&mut self, status: u16, reason: &str, shared: &Shared) -> Flow {
-        self.no_session(status, reason, None, shared).await
+    /// Sends 502 or 504: a set-up may have been executed.
+    pub(crate) async fn fail(&mut self, status: u16, reason: &str, shared: &Shared) -> Disposition {
+        self.send_without_session(status, reason, None, shared).await
     }
 }
 
-/// Answers a connection that is not served; no request of it is read.
-pub(crate) async fn turn_away(stream: TcpStream, after: Duration, reason: &str, shared: &Shared) {
+/// Answers 503 on a connection that is not served; none of its requests is read.
+pub(crate) async fn reject(stream: TcpStream, retry_after: Duration, reason: &str, shared: &Shared) {
     let mut conn = ViewerConn::new(stream, shared);
     conn.keep_alive = false;
-    conn.refuse(after, reason, shared).await;
+    conn.refuse(retry_after, reason, shared).await;
     lingering_close(conn.framed.into_inner()).await;
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it closes.
 pub(crate) async fn serve(stream: TcpStream, shared: Arc<Shared>) {
     let listen = &shared.settings.listen;
     let port = stream.peer_addr().map_or(0, |a| a.port());
@@ -125,16 +131,16 @@
             let mut byte = [0];
             let first = timeout(listen.idle_ms.get(), conn.framed.get_ref().peek(&mut byte)).await;
             if !matches!(first, Ok(Ok(n)) if n > 0) {
-                return; // idle for too long, closed or broken
+                return; // idle for too long, closed, or failed
             }
         }
         let head = match timeout(listen.head_ms.get(), conn.framed.next()).await {
             Ok(Some(Ok(RequestFrame::Head(head)))) => head,
             Ok(Some(Err(WireError::Malformed(m)))) => {
                 tracing::debug!(error = %m, "malformed request");
-                return conn.last_word(m.status()).await;
+                return conn.send_final(m.status()).await;
             }
-            Err(_) => return conn.last_word(408).await,
+            Err(_) => return conn.send_final(408).await,
             Ok(_) => return,
         };
         conn.keep_alive = head.keep_alive;
@@ -142,7 +148,7 @@
             timeout(listen.head_ms.get(), read_body(&mut conn.framed, listen.report_bytes.count())).await;
         let refused = match body {
             Ok(Ok(Some(body))) => {
-                if request(&mut conn, head, body, port, &shared).await == Flow::Close {
+                if handle_request(&mut conn, head, body, port, &shared).await == Disposition::Close {
                     return;
                 }
                 continue;
@@ -152,52 +158,60 @@
             Ok(Err(WireError::Io(_))) => return,
             Err(_) => 408,
         };
-        return conn.last_word(refused).await;
+        return conn.send_final(refused).await;
     }
 }
 
-async fn request(
+async fn handle_request(
     conn: &mut ViewerConn,
     head: RequestHead,
     body: Vec<u8>,
     port: u16,
     shared: &Arc<Shared>,
-) -> Flow {
+) -> Disposition {
     match head.method {
         Method::Post if head.target.path() == shared.settings.mapping.reports => {
-            reports(conn, &head, body, shared).await
+            handle_reports(conn, &head, body, shared).await
         }
-        Method::Get => object(conn, head, port, shared).await,
-        _ => conn.plain(405).await,
+        Method::Get => handle_object(conn, head, port, shared).await,
+        _ => conn.send_status(405).await,
     }
 }
 
-/// Event and response reports of players (CTA-5004-A): they tell that a session lives or is over.
-async fn reports(conn: &mut ViewerConn, head: &RequestHead, body: Vec<u8>, shared: &Shared) -> Flow {
-    let wanted = head.headers.text("content-type").is_none_or(|t| t.trim().starts_with(REPORT_TYPE));
-    let Some(body) = String::from_utf8(body).ok().filter(|_| wanted) else { return conn.plain(400).await };
+/// Handles event and response reports of players (CTA-5004-A), which show that a session is active or has
+/// ended.
+async fn handle_reports(
+    conn: &mut ViewerConn,
+    head: &RequestHead,
+    body: Vec<u8>,
+    shared: &Shared,
+) -> Disposition {
+    let is_report = head.headers.text("content-type").is_none_or(|t| t.trim().starts_with(REPORT_TYPE));
+    let Some(body) = String::from_utf8(body).ok().filter(|_| is_report) else {
+        return conn.send_status(400).await;
+    };
     let mut faults = Faults::default();
     for record in cmcd::read_reports(&body, &mut faults) {
         let Some(sid) = record.sid.as_deref() else { continue };
         if let Some(route) = shared.routes.get(sid) {
             route.record_activity(shared.clock.now());
         }
-        if let Some(why) = arrival::end_reason(&record) {
+        if let Some(reason) = arrival::end_reason(&record) {
             let _ = shared
-                .desk
-                .send(Mail::of(Input::SessionEnded {
+                .event_tx
+                .send(LoopEvent::from_input(Input::SessionEnded {
                     sid: sid.into(),
-                    reason: why,
+                    reason,
                     load: cloverhollow_session::Load::default(),
                 }))
                 .await;
         }
     }
     shared.stats.record_hints(&faults, cloverhollow_hints::Contradictions::default());
-    conn.plain(204).await
+    conn.send_status(204).await
 }
 
-fn hints(head: &RequestHead) -> Hints {
+fn read_hints(head: &RequestHead) -> Hints {
     let mut faults = Faults::default();
     let (mut headers, mut query) = (Record::default(), Record::default());
     for group in Group::ALL {
@@ -218,63 +232,71 @@
     Hints { record, faults, contradictions }
 }
 
-/// An object of a session: the first one is the call, later ones follow the route.
-async fn object(conn: &mut ViewerConn, head: RequestHead, port: u16, shared: &Arc<Shared>) -> Flow {
-    let begun = Instant::now();
-    let mut hints = hints(&head);
+/// Handles an object request: the first one of a session is a set-up, later ones follow the route.
+async fn handle_object(
+    conn: &mut ViewerConn,
+    head: RequestHead,
+    port: u16,
+    shared: &Arc<Shared>,
+) -> Disposition {
+    let started_at = Instant::now();
+    let mut hints = read_hints(&head);
     if hints.record.sid.is_none() {
-        // A viewer without a usable id still gets its session: the connection stands in.
+        // A viewer without a usable `sid` gets a session identified by its connection.
         let name = shared.settings.instance.name.as_str();
         hints.record.sid = Some(format!("~{name}-{port}").into());
     }
-    let over = arrival::end_reason(&hints.record);
+    let session_end = arrival::end_reason(&hints.record);
     let sid = hints.record.sid.clone().unwrap_or_default();
     if let Some(route) = shared.routes.get(&sid) {
-        let ask = Ask { target: head.target, hints: hints.record };
-        let flow = object::serve(conn, &ask, &route, shared).await;
-        if let Some(why) = over {
+        let request = ViewerRequest { target: head.target, hints: hints.record };
+        let disposition = object::serve(conn, &request, &route, shared).await;
+        if let Some(reason) = session_end {
             let _ = shared
-                .desk
-                .send(Mail::of(Input::SessionEnded {
+                .event_tx
+                .send(LoopEvent::from_input(Input::SessionEnded {
                     sid: route.sid.clone(),
-                    reason: why,
+                    reason,
                     load: cloverhollow_session::Load::default(),
                 }))
                 .await;
         }
-        return flow;
+        return disposition;
     }
-    let ask = Arc::new(Ask { target: head.target.clone(), hints: hints.record.clone() });
-    let viewer = shared.viewer();
-    let read = arrival::read(&shared.settings, viewer, head.target.path(), &hints, ask.clone());
-    let arrival = match read {
+    let request = Arc::new(ViewerRequest { target: head.target.clone(), hints: hints.record.clone() });
+    let viewer = shared.next_viewer_id();
+    let parsed = arrival::read(&shared.settings, viewer, head.target.path(), &hints, request.clone());
+    let arrival = match parsed {
         Ok(arrival) => arrival,
-        Err(ArrivalError::Path | ArrivalError::Class | ArrivalError::Sid) => return conn.plain(404).await,
+        Err(ArrivalError::Path | ArrivalError::Class | ArrivalError::Sid) => {
+            return conn.send_status(404).await
+        }
     };
-    let (reply, mut replied) = oneshot::channel();
+    let (reply_tx, mut reply_rx) = oneshot::channel();
     let sid = arrival.sid.clone();
-    if shared.desk.send(Mail::call(arrival, reply)).await.is_err() {
-        return Flow::Close;
+    if shared.event_tx.send(LoopEvent::arrival(arrival, reply_tx)).await.is_err() {
+        return Disposition::Close;
     }
     let answer = tokio::select! {
-        answer = &mut replied => answer,
+        answer = &mut reply_rx => answer,
         () = wait_closed(&conn.framed) => {
-            let _ = shared.desk.send(Mail::of(Input::Disconnected { viewer, sid })).await;
-            return Flow::Close;
+            let _ = shared.event_tx.send(LoopEvent::from_input(Input::Disconnected { viewer, sid })).await;
+            return Disposition::Close;
         }
     };
     match answer {
-        Ok(Answer::Stream { route, response: answer }) => {
-            let Told { path, .. } = upstream::told(&answer.head, route.kbps());
-            let told = Told { path, ..Told::default() };
-            object::relay(conn, answer.head, told, answer.lease, Some(&route), begun, shared).await
+        Ok(Answer::Stream { route, response }) => {
+            let ResponseHints { cmsd_path, .. } = upstream::response_hints(&response.head, route.kbps());
+            let hints = ResponseHints { cmsd_path, ..ResponseHints::default() };
+            object::relay(conn, response.head, hints, response.connection, Some(&route), started_at, shared)
+                .await
         }
-        Ok(Answer::Follow(route)) => object::serve(conn, &ask, &route, shared).await,
+        Ok(Answer::Follow(route)) => object::serve(conn, &request, &route, shared).await,
         Ok(Answer::Refused { retry_after, reason }) => conn.refuse(retry_after, reason.token(), shared).await,
-        Ok(Answer::Failed { timed_out: late, reason }) => {
-            conn.fail(if late { 504 } else { 502 }, reason.token(), shared).await
+        Ok(Answer::Failed { timed_out, reason }) => {
+            conn.fail(if timed_out { 504 } else { 502 }, reason.token(), shared).await
         }
-        // The desk is gone: this front is stopping.
-        Err(_) => Flow::Close,
+        // The event loop has ended: this front is stopping.
+        Err(_) => Disposition::Close,
     }
 }
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! What peers may send at a front's door: refused by status, bounded, and the next viewer is served.
+//! Malformed and excessive input at the viewers' address: it is refused by status, bounded, and does not
+//! affect the next viewer.
 
 mod common;
 
@@ -92,7 +93,7 @@
 async fn garbage_on_many_connections_leaves_the_front_serving() {
     let peer = Peer::start(Does::Plays).await;
     let s = over(&[&peer], "").await;
-    // The same garbage each time: a small generator with a fixed seed.
+    // The same input in each run: a linear congruential generator with a fixed seed.
     let mut state = 0x2545_f491_4f6c_dd1d_u64;
     for _ in 0..200 {
         let bytes: Vec<u8> = (0..64)
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front in this process, scripted peers round it, raw bytes at its door.
+//! Test helpers: a front in this process, scripted servers, raw requests.
 #![allow(dead_code)] // each test file uses a part
 
 use bytes::Bytes;
@@ -17,10 +17,10 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Far over anything that these tests wait for: a hang fails, a busy machine does not.
+/// Time limit far above any wait of these tests: a hang fails, a busy machine does not.
 pub const LONG: Duration = Duration::from_secs(20);
 
-/// What a scripted server does with a set-up.
+/// Behaviour of a scripted server on a set-up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Does {
     Plays,
@@ -32,7 +32,7 @@
     Never,
 }
 
-/// A server that does as told, and keeps what it was asked.
+/// Scripted server that records the requests it received.
 pub struct Peer {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<String>>>,
@@ -57,12 +57,12 @@
         self.seen.lock().unwrap().clone()
     }
 
-    /// Set-ups that it read.
+    /// Returns the number of set-up requests received.
     pub fn setups(&self) -> usize {
         self.seen().iter().filter(|s| s.starts_with("setup")).count()
     }
 
-    /// Waits until something that it saw fits.
+    /// Waits until a recorded request matches the predicate.
     pub async fn wait(&self, what: impl Fn(&str) -> bool) {
         let found = async {
             while !self.seen().iter().any(|s| what(s)) {
@@ -119,7 +119,7 @@
                 let _ = write_response(&mut conn, ResponseHead::new(500, 0), Bytes::new()).await;
             }
             Does::Never => {
-                // Until the front closes it.
+                // Returns once the front closes the connection.
                 let _ = conn.next().await;
                 put("closed by the front".into());
                 return;
@@ -129,7 +129,7 @@
     }
 }
 
-/// Discovery with one whole list, kept open.
+/// Starts a discovery service that sends one full list and keeps the stream open.
 pub async fn discovery(servers: &[SocketAddr]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -161,7 +161,7 @@
     pub address: SocketAddr,
 }
 
-/// A front with these settings on top of the tests' own.
+/// Starts a front with `extra_settings` added to the defaults of the tests.
 pub async fn front(discovery: SocketAddr, more: &str) -> Setup {
     let text = format!(
         "discovery: {{address: \"{discovery}\"}}\nside: {{address: \"127.0.0.1:0\"}}\n\
@@ -169,7 +169,7 @@
          - {{name: clip, aim_ms: 1000, deadline_ms: 2000}}\nfleet: {{link_unit_kb: 1000000}}\n{more}\n"
     );
     let text = if more.contains("instance:") { text } else { text + "instance: {seed: 3}\n" };
-    // `listen` comes from the test, with a port from the system unless it says otherwise.
+    // A port chosen by the system, unless the test sets `listen`.
     let text = if more.contains("listen:") { text } else { text + "listen: {address: \"127.0.0.1:0\"}\n" };
     let settings = Arc::new(FrontSettings::parse("test.yaml", &text).unwrap());
     let brain = SessionPolicy::new(settings.decisions(), 3);
@@ -177,7 +177,7 @@
     Setup { address: front.address, front }
 }
 
-/// Waits until the front has a list.
+/// Waits until the front reports ready.
 pub async fn ready(s: &Setup) {
     let side = s.front.side_address.unwrap();
     let until = async {
@@ -188,7 +188,7 @@
     timeout(LONG, until).await.expect("a list");
 }
 
-/// A front over these peers, ready.
+/// Starts a front over these servers and waits until it is ready.
 pub async fn over(peers: &[&Peer], more: &str) -> Setup {
     let addresses: Vec<_> = peers.iter().map(|p| p.address).collect();
     let s = front(discovery(&addresses).await, more).await;
@@ -196,7 +196,7 @@
     s
 }
 
-/// Sends bytes and reads until the front closes.
+/// Sends bytes and reads until the front closes the connection.
 pub async fn raw(address: SocketAddr, bytes: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -209,7 +209,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// A viewer's request that closes afterwards.
+/// Returns a request after which the connection closes.
 pub fn get(path: &str, headers: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: front\r\nconnection: close\r\n{headers}\r\n")
 }
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -1,5 +1,5 @@
-//! Warm starts over sockets: real fronts, and scripted peers that are stale, cut off, lie, or are of another
-//! kind. In each case the front serves on.
+//! Warm starts over sockets, with real fronts and with scripted peers that are stale, interrupted,
+//! untrustworthy or incompatible. The front serves in each case.
 
 mod common;
 
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 use tokio_util::codec::Framed;
 
-/// What a scripted peer answers to a question: its number, from 0, the nonce, and the head.
+/// Scripted response of a peer, by the index of the request (from 0), its nonce and its head.
 type Reply = Arc<dyn Fn(usize, u64, &RequestHead) -> (ResponseHead, Vec<u8>) + Send + Sync>;
 
 async fn peer(reply: Reply) -> (SocketAddr, Arc<AtomicUsize>) {
@@ -37,7 +37,7 @@
                 let _ = read_body(&mut conn, 0).await;
                 let nonce = head.target.argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
                 let (out, body) = reply(count.fetch_add(1, Relaxed), nonce, &head);
-                // A head that promises more than is sent is a cut.
+                // A head that announces a longer body than is sent makes an interrupted transfer.
                 let _ = write_response(&mut conn, out, Bytes::from(body)).await;
             });
         }
@@ -45,7 +45,7 @@
     (address, asked)
 }
 
-/// What a warm front would say: that server 1 drains since version 9 of the list.
+/// Message of a warm front: server 1 drains since version 9 of the list.
 fn message(nonce: u64, fleet: &str) -> Message {
     let me = Observer { instance: 77, incarnation: 1 };
     let mut book = Book::new(me, title_id(fleet), Duration::from_secs(30));
@@ -71,7 +71,8 @@
     )
 }
 
-/// A front over two servers that asks those peers, once its warm start has ended; and its health.
+/// Starts a front over two servers with these peers, and returns it with its health once the warm start has
+/// ended.
 async fn started(servers: [&Peer; 2], peers: &[SocketAddr]) -> (Setup, String) {
     let s = over(&servers, &asking(peers)).await;
     let side = s.front.side_address.unwrap();
@@ -88,7 +89,7 @@
     (s, health)
 }
 
-/// Sets eight sessions up; how many went to the first server.
+/// Sets up eight sessions and returns how many went to the first server.
 async fn to_first(s: &Setup, first: &Peer) -> usize {
     for i in 0..8 {
         let got = raw(s.address, &get("/club/clip/t1/0", &sid(&format!("w{i}")))).await;
@@ -202,7 +203,7 @@
     assert!(got.starts_with("HTTP/1.1 200"), "{got}");
     let metrics = raw(cold.front.side_address.unwrap(), "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert!(metrics.contains("cloverhollow_peer_fed_total 1"), "{metrics}");
-    // The door: what it answers to what is no question.
+    // Malformed and incompatible requests get their status.
     for (path, want) in [
         ("/v1/knowledge", "400"),
         ("/v1/knowledge?nonce=1&format=9", "406"),
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The front over sockets against scripted peers: each hard case of the path, caused.
+//! The front over sockets, with scripted servers for each failure on the path of a request.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// An address that refuses connections.
+/// Returns an address that refuses connections.
 async fn nobody() -> std::net::SocketAddr {
     TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap()
 }
@@ -23,7 +23,7 @@
     let first = raw(s.address, &get("/club/paid/t1/0.m4s", &sid("abc"))).await;
     assert_eq!(status(&first), "200", "{first}");
     assert!(first.ends_with("play"), "{first}");
-    // The path so far first, the front's own member last (CTA-5006).
+    // The server's member comes first, the front's own member last (CTA-5006).
     let dynamic = first.lines().find(|l| l.starts_with("cmsd-dynamic")).unwrap();
     assert!(dynamic.contains("\"peer\";etp=80000") && dynamic.contains(", \"front-1\";"), "{dynamic}");
     assert!(dynamic.contains("com.cloverhollow-rung=3"), "{dynamic}");
@@ -36,7 +36,7 @@
     assert!(seen[0].contains("com.cloverhollow-setup=0"), "{seen:?}");
     assert!(seen[0].contains("sid=\"abc\"") && seen[0].contains("rtp=16000"), "{seen:?}");
     assert!(seen[1].starts_with("object /club/paid/t1/1.m4s") && seen[1].contains("br=16000"), "{seen:?}");
-    // The player's word ends it, and the server hears of it.
+    // The player's report ends the session, and the server is notified.
     let body = "e=ps,sid=\"abc\",sta=e,v=2\n";
     let report = format!(
         "POST /cmcd HTTP/1.1\r\nhost: f\r\nconnection: close\r\ncontent-type: application/cmcd\r\ncontent-length: {}\r\n\r\n{body}",
@@ -118,7 +118,7 @@
     let got = raw(s.address, &get("/club/paid/t1/0", &hasty)).await;
     let took = began.elapsed();
     assert!(status(&got) == "504" && got.contains("unanswered"), "{got}");
-    // Its own 400 ms and not the class's 2 s: a ratio with room for a busy machine.
+    // The viewer's own 400 ms apply, not the 2 s of the class; the margin allows for a busy machine.
     assert!(took < Duration::from_millis(1500), "{took:?}");
     silent.wait(|s| s == "closed by the front").await;
 }
@@ -208,7 +208,7 @@
     assert_eq!(status(&got), "200", "by its last list: {got}");
     second.front.stop().await;
 
-    // A torn file is set aside and never trusted; the start goes on without.
+    // A truncated file is set aside and never used; the front starts without it.
     let whole = std::fs::read(&file).unwrap();
     std::fs::write(&file, &whole[..whole.len() / 3]).unwrap();
     let third = start(keep(nobody().await)).await;
