--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -1,14 +1,17 @@
 //! All connections to video servers: which carries a set-up, a line, or waits; and what is proven of a set-up when
 //! its connection ends. What is believed of the servers is [`LinkMonitor`]'s; here it is put on connections.
 
+mod close_reason;
 mod ends;
 mod lines;
+mod types;
 mod waiting;
 
+pub(crate) use types::{Ended, Heard, Outgoing};
+
 use crate::link::{self, Way};
 use crate::mail::{First, Hold, Mail};
-use crate::viewer::Waits;
-use bytes::Bytes;
+use close_reason::CloseReason;
 use cloverhollow::ServerId;
 use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::lines::{cause, Line};
@@ -24,34 +27,6 @@
 /// How long a connection may take to be made where the settings don't tell.
 const CONNECT: Duration = Duration::from_secs(1);
 
-/// Why a connection to a video server is closed here.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CloseReason {
-    /// It has been idle for too long, or there are too many idle ones.
-    Idle,
-    /// The set-up on it is given up.
-    GivenUp,
-    /// It can't carry the set-up that was meant for it.
-    Unusable,
-    /// It was opened to a process that has been replaced since.
-    FormerProcess,
-}
-
-/// A connection that is closed here is read on for so long, unless its server closes it too. Guards what the server wrote
-/// before it heard of the close: a release of a session would be lost, and its client never told.
-const LINGER: Duration = Duration::from_secs(1);
-/// The same where sessions may stand that were set up on it: a server that hangs writes there once it goes on.
-const LINGER_FOR_SESSIONS: Duration = Duration::from_secs(10);
-
-impl CloseReason {
-    fn linger(self) -> Duration {
-        match self {
-            CloseReason::Idle | CloseReason::FormerProcess => LINGER_FOR_SESSIONS,
-            CloseReason::GivenUp | CloseReason::Unusable => LINGER,
-        }
-    }
-}
-
 /// A connection to a video server.
 struct Link {
     server: ServerId,
@@ -72,35 +47,6 @@
     gate: Arc<SendDecision>,
 }
 
-/// A set-up to be sent.
-pub(crate) struct Outgoing {
-    pub(crate) attempt: AttemptId,
-    pub(crate) server: ServerId,
-    pub(crate) address: SocketAddr,
-    pub(crate) sid: SessionId,
-    /// It may take effect once only.
-    pub(crate) paid: bool,
-    pub(crate) line: Bytes,
-    /// If its first byte has not gone out by then, it never does.
-    pub(crate) until: Duration,
-    /// Who waits for it.
-    pub(crate) waits: Option<Waits>,
-}
-
-/// What came on a connection, as far as the connection tells.
-pub(crate) struct Heard {
-    /// What it was opened for.
-    pub(crate) server: ServerId,
-    /// Where the process that spoke listens.
-    pub(crate) address: SocketAddr,
-    /// It is about the set-up that is open there.
-    pub(crate) own: bool,
-    pub(crate) closing: bool,
-}
-
-/// What is proven of a set-up.
-pub(crate) type Ended = Option<(AttemptId, AttemptEnd)>;
-
 pub(crate) struct Links {
     watch: LinkMonitor,
     clock: Clock,
--- a/crates/node/src/links/tests/lines.rs
+++ b/crates/node/src/links/tests/lines.rs
@@ -1,6 +1,7 @@
 //! Releases and other lines: each reaches its server, whatever its connection does meanwhile.
 
 use super::*;
+use bytes::Bytes;
 
 /// The desk queues more than the connection's task, which has no turn meanwhile, takes.
 #[tokio::test]
