--- a/crates/node/src/channel.rs
+++ b/crates/node/src/channel.rs
@@ -1,6 +1,6 @@
 //! The command channel: an event stream over HTTP, asked for again when it breaks or falls silent.
 
-use crate::mail::Mail;
+use crate::messages::Mail;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_net::{connect, EventStreamDecoder, WireError};
--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -4,20 +4,20 @@
 //! and queues bytes for the tasks that own the sockets; a queue that is full costs its connection.
 
 mod commands;
-mod end;
 mod lines;
-mod news;
 mod releases;
 mod servers;
+mod shutdown;
+mod updates;
 mod viewers;
 
-pub(crate) use end::Stop;
+pub(crate) use shutdown::Stop;
 
 use crate::channel::From;
 use crate::gossip::GossipSocket;
 use crate::links::{Ended, Heard, Links, Outgoing};
-use crate::mail::Mail;
-use crate::viewer::{Came, ViewerHold, Waits};
+use crate::messages::Mail;
+use crate::viewer_conn::{Came, ViewerHold, Waits};
 use bytes::Bytes;
 use cloverhollow::{ServerId, SessionPolicy};
 use cloverhollow_net::{unix_ms, Clock};
--- a/crates/node/src/desk/tests.rs
+++ b/crates/node/src/event_loop/tests.rs
@@ -1,7 +1,7 @@
 //! The desk, its viewers' connections held by the test: nobody reads them but it.
 
 use super::*;
-use crate::viewer::{Bell, Reply, Viewer};
+use crate::viewer_conn::{Bell, Reply, Viewer};
 use bytes::BytesMut;
 use cloverhollow_platform::config;
 use cloverhollow_platform::rtsp;
@@ -63,7 +63,7 @@
         };
         let core = Core::new(SessionPolicy::new(site.settings.clone(), 1), terms, 1);
         let watch = LinkMonitor::new(Duration::ZERO, site.idle_close, 8);
-        let (mail, mails) = mpsc::channel(crate::mail::MOST_MAILS);
+        let (mail, mails) = mpsc::channel(crate::messages::MOST_MAILS);
         let (rings, rung) = mpsc::channel(64);
         let (from, _) = watch::channel(From { address: config.channel, cursor: 0, useless: 0 });
         let clock = Clock::start();
--- a/crates/node/src/desk/news/tests.rs
+++ b/crates/node/src/event_loop/updates/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::mail::MOST_MAILS;
+use crate::messages::MOST_MAILS;
 use cloverhollow_platform::channel::ServerDirectory;
 use cloverhollow_platform::settings;
 use serde_json::{json, Value};
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -3,7 +3,7 @@
 //! The desk never waits: what the system can't take at once is lost, as any datagram may be. A reader whose mail waits for the desk
 //! leaves what comes to the socket's own queue, which drops what is too much.
 
-use crate::mail::Mail;
+use crate::messages::Mail;
 use bytes::Bytes;
 use cloverhollow::{ServerId, SessionReport};
 use cloverhollow_platform::gossip::{Gossip, GossipConfig, MAX_DATAGRAM_BYTES};
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,13 +5,13 @@
 //! core decide; [`link`] sends; the answer comes back by the desk to the connection.
 
 mod channel;
-mod desk;
+mod event_loop;
 mod gossip;
 mod link;
 mod links;
 mod listen;
-mod mail;
+mod messages;
 mod process;
-mod viewer;
+mod viewer_conn;
 
 pub use process::{run, NodeError};
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -1,12 +1,12 @@
 //! One connection to a video server, in a task of its own.
 
-mod lately;
+mod recent_writes;
 
-use crate::mail::{gather, First, Gathered, Hold, Mail, Order, Passed};
+use crate::messages::{gather, First, Gathered, Hold, Mail, Order, Passed};
 use bytes::{Buf, BytesMut};
 use cloverhollow_platform::lines;
 use cloverhollow_platform::link_monitor::{LinkEndReason, LinkId};
-use lately::Lately;
+use recent_writes::Lately;
 use socket2::SockRef;
 use std::io::{Cursor, ErrorKind, Read};
 use std::mem::MaybeUninit;
--- a/crates/node/src/link/lately.rs
+++ b/crates/node/src/link/recent_writes.rs
@@ -1,6 +1,6 @@
 //! Releases of which it is not proven that their server has read them.
 
-use crate::mail::Order;
+use crate::messages::Order;
 use bytes::{Bytes, BytesMut};
 use cloverhollow_platform::lines::{self, Line, Verb};
 use std::collections::VecDeque;
--- a/crates/node/src/link/tests.rs
+++ b/crates/node/src/link/tests.rs
@@ -1,7 +1,7 @@
 //! One connection to a video server, on real sockets.
 
 use super::*;
-use crate::mail::MOST_MAILS;
+use crate::messages::MOST_MAILS;
 use tokio::net::TcpListener;
 
 /// A connection that is up: the server's end, the desk's hold and its mails.
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -2,27 +2,27 @@
 //! its connection ends. What is believed of the servers is [`LinkMonitor`]'s; here it is put on connections.
 
 mod close_reason;
-mod ends;
-mod lines;
+mod outcomes;
+mod queued_lines;
+mod sending;
 mod types;
-mod waiting;
 
 pub(crate) use types::{Ended, Heard, Outgoing};
 
 use crate::link::{self, Way};
-use crate::mail::{First, Hold, Mail};
+use crate::messages::{First, Hold, Mail};
 use close_reason::CloseReason;
 use cloverhollow::ServerId;
 use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::lines::{cause, Line};
 use cloverhollow_platform::link_monitor::{LinkAction, LinkEndReason, LinkId, LinkMonitor};
 use cloverhollow_session::{AttemptEnd, AttemptId, CancelReason, SessionId};
+use queued_lines::Waiting;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use waiting::Waiting;
 
 /// How long a connection may take to be made where the settings don't tell.
 const CONNECT: Duration = Duration::from_secs(1);
--- a/crates/node/src/links/tests/mod.rs
+++ b/crates/node/src/links/tests/mod.rs
@@ -1,9 +1,9 @@
 //! Connections to video servers, on real sockets.
 
-mod lines;
+mod sending;
 
 use super::*;
-use crate::mail::MOST_MAILS;
+use crate::messages::MOST_MAILS;
 use cloverhollow_platform::lines::Verb;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/node/src/links/types.rs
+++ b/crates/node/src/links/types.rs
@@ -1,6 +1,6 @@
 //! Set-ups and lines as they are passed between the event loop and the links.
 
-use crate::viewer::Waits;
+use crate::viewer_conn::Waits;
 use bytes::Bytes;
 use cloverhollow::ServerId;
 use cloverhollow_session::{AttemptEnd, AttemptId, SessionId};
--- a/crates/node/src/listen.rs
+++ b/crates/node/src/listen.rs
@@ -1,7 +1,7 @@
 //! Viewers' connections, a task each.
 
-use crate::mail::Mail;
-use crate::viewer::{Bell, Came, Reply, Viewer, ViewerHold};
+use crate::messages::Mail;
+use crate::viewer_conn::{Bell, Came, Reply, Viewer, ViewerHold};
 use bytes::BytesMut;
 use cloverhollow_net::{lingering_close, lingering_close_within};
 use cloverhollow_platform::rtsp::{self, ReplyTarget};
--- a/crates/node/src/listen/tests.rs
+++ b/crates/node/src/listen/tests.rs
@@ -1,7 +1,7 @@
 //! What a connection's task does with what is queued, as its viewer and the desk come and go.
 
 use super::*;
-use crate::viewer::MOST_QUEUED;
+use crate::viewer_conn::MOST_QUEUED;
 use bytes::Bytes;
 use socket2::SockRef;
 use std::collections::VecDeque;
--- a/crates/node/src/mail.rs
+++ b/crates/node/src/messages.rs
@@ -1,6 +1,6 @@
 //! What the desk is told.
 
-use crate::viewer::{ViewerHold, Waits};
+use crate::viewer_conn::{ViewerHold, Waits};
 use bytes::Bytes;
 use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::channel::ChannelUpdate;
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,11 +1,11 @@
 //! A session manager as a process: its configuration, its sockets, its signals.
 
 use crate::channel::{self, From};
-use crate::desk::{Bounds, Desk, Post, Stop};
+use crate::event_loop::{Bounds, Desk, Post, Stop};
 use crate::gossip::GossipSocket;
 use crate::listen;
-use crate::mail::{Mail, MOST_MAILS};
-use crate::viewer::Bell;
+use crate::messages::{Mail, MOST_MAILS};
+use crate::viewer_conn::Bell;
 use cloverhollow::SessionPolicy;
 use cloverhollow_net::{unix_ms, Clock};
 use cloverhollow_platform::config::{self, Config, ConfigError};
--- a/crates/node/src/viewer/tests.rs
+++ b/crates/node/src/viewer_conn/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::link::{self, Way};
-use crate::mail::{First, Mail, Passed, MOST_MAILS};
+use crate::messages::{First, Mail, Passed, MOST_MAILS};
 use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::link_monitor::LinkId;
 use cloverhollow_session::AttemptId;
