--- a/crates/node/src/listen.rs
+++ b/crates/node/src/listen.rs
@@ -1,7 +1,7 @@
-//! Viewers' connections, a task each.
+//! Accepts viewers' connections; one task reads and writes each of them.
 
-use crate::messages::Mail;
-use crate::viewer_conn::{Bell, Came, Reply, Viewer, ViewerHold};
+use crate::messages::LoopEvent;
+use crate::viewer_conn::{ReadyNotifier, Received, ViewerCommand, ViewerConn, ViewerHandle};
 use bytes::BytesMut;
 use cloverhollow_net::{lingering_close, lingering_close_within};
 use cloverhollow_platform::rtsp::{self, ReplyTarget};
@@ -13,103 +13,110 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::{sleep_until, Instant};
 
-/// Most messages that wait to be written to one connection; their bytes are bounded besides.
-const MOST_REPLIES: usize = 16_384;
-/// A viewer that takes nothing of what it is sent for so long is let go.
-const WRITE: Duration = Duration::from_secs(2);
-/// A connection's first message, and the rest of any that has begun, must have come by then.
-const WHOLE: Duration = Duration::from_secs(2);
-/// After the last answer: what still comes is read for so long, lest a reset takes the answer with it.
-const LINGER: Duration = Duration::from_secs(4);
-/// And so many bytes of it.
-const LINGER_BYTES: usize = 80 * 1024 * 1024;
-/// Most bytes read at once.
-const READ: usize = 4 * 1024;
-/// Most that are gathered for one write.
-const GATHER: usize = 64 * 1024;
-/// Wait before the next connection is accepted when none could be, as when descriptors have run out.
-const AGAIN: Duration = Duration::from_millis(10);
+/// Capacity of a connection's command queue; the queued bytes have a limit of their own.
+const MAX_QUEUED_COMMANDS: usize = 16_384;
+/// Time after which a connection is closed if the viewer accepts none of the bytes written to it.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time within which the first message must be received completely, and any later message once it has begun.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for which a connection is still read after an error response; closing it with unread data would reset
+/// it, and the viewer could lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of bytes read during that time.
+const LINGER_MAX_BYTES: usize = 80 * 1024 * 1024;
+/// Buffer space reserved for each read.
+const READ_BUFFER_BYTES: usize = 4 * 1024;
+/// Size at which queued bytes are written without collecting more of them.
+const WRITE_BATCH_BYTES: usize = 64 * 1024;
+/// Delay before the next accept after one failed, for instance because file descriptors ran out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Accepts for as long as the process runs. `places`: descriptors that viewers' connections may hold at a time, those
-/// that are being closed among them; past them the next waits in the system's queue.
+/// Accepts connections until the event loop ends. `permits` limits the file descriptors of viewers'
+/// connections, including those being closed; further connections wait in the listen backlog.
 pub(crate) async fn accept(
     listener: TcpListener,
-    places: Arc<Semaphore>,
-    mail: mpsc::Sender<Mail>,
-    bell: Arc<Bell>,
+    permits: Arc<Semaphore>,
+    event_tx: mpsc::Sender<LoopEvent>,
+    notifier: Arc<ReadyNotifier>,
 ) {
-    let mut next = 0;
+    let mut last_id = 0;
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let stream = match listener.accept().await {
             Ok((stream, _)) => Arc::new(stream),
             Err(error) => {
-                tracing::warn!(%error, "no connection accepted");
-                tokio::time::sleep(AGAIN).await;
+                tracing::warn!(%error, "cannot accept a viewer's connection");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let _ = stream.set_nodelay(true);
-        next += 1;
-        let id = ConnId(next);
-        let (replies, queue) = mpsc::channel(MOST_REPLIES);
-        let viewer = Arc::new(Viewer::new(id, &stream, bell.clone()));
-        let hold = ViewerHold { replies, viewer: viewer.clone() };
-        // What comes before the desk has heard of the connection, it takes then.
+        last_id += 1;
+        let id = ConnId(last_id);
+        let (commands, command_rx) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let conn = Arc::new(ViewerConn::new(id, &stream, notifier.clone()));
+        let handle = ViewerHandle { commands, conn: conn.clone() };
+        // Messages received before the event loop knows the connection are taken when it does.
         tokio::spawn(async move {
-            serve(stream, &viewer, queue).await;
-            viewer.end();
-            drop(place);
+            serve(stream, &conn, command_rx).await;
+            conn.close_read();
+            drop(permit);
         });
-        if mail.send(Mail::Opened(id, hold)).await.is_err() {
+        if event_tx.send(LoopEvent::ViewerConnected(id, handle)).await.is_err() {
             return;
         }
     }
 }
 
-/// Whether what comes is read.
+/// State of the read side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reading {
-    On,
-    /// Not until the desk has taken what is there.
-    Full,
-    /// Not any more.
-    Over,
+enum ReadState {
+    Open,
+    /// Paused until the event loop has taken the received items.
+    Paused,
+    /// Nothing more is read.
+    Closed,
 }
 
-/// How a connection goes on.
+/// State of the write side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Closing {
-    No,
-    /// After the last answer to what can't be used or read.
-    Refused,
-    /// The desk has let go of it.
-    Dropped,
+enum WriteState {
+    Open,
+    /// Closing after an error response to invalid data.
+    ClosingAfterError,
+    /// Closing because the event loop has dropped its handle.
+    HandleDropped,
 }
 
-/// What is to be written.
+/// Bytes being written.
 #[derive(Default)]
-struct Out {
+struct WriteBuffer {
     bytes: Vec<u8>,
-    at: usize,
+    /// Number of `bytes` that are written already.
+    written_len: usize,
 }
 
-impl Out {
-    /// Gathers what is queued; whether the connection is to be closed behind it.
-    fn gather(&mut self, first: Option<Reply>, queue: &mut mpsc::Receiver<Reply>) -> Closing {
+impl WriteBuffer {
+    /// Appends the bytes of `first` and of the commands queued behind it; returns whether and why the
+    /// connection is to be closed after them.
+    fn collect(
+        &mut self,
+        first: Option<ViewerCommand>,
+        commands: &mut mpsc::Receiver<ViewerCommand>,
+    ) -> WriteState {
         let mut next = first;
         loop {
             match next {
-                Some(Reply::Write(bytes)) => self.bytes.extend_from_slice(&bytes),
-                Some(Reply::Close) => return Closing::Refused,
-                None => return Closing::Dropped,
+                Some(ViewerCommand::Write(bytes)) => self.bytes.extend_from_slice(&bytes),
+                Some(ViewerCommand::Close) => return WriteState::ClosingAfterError,
+                None => return WriteState::HandleDropped,
             }
-            if self.bytes.len() >= GATHER {
-                return Closing::No;
+            if self.bytes.len() >= WRITE_BATCH_BYTES {
+                return WriteState::Open;
             }
-            next = match queue.try_recv() {
-                Ok(reply) => Some(reply),
-                Err(mpsc::error::TryRecvError::Empty) => return Closing::No,
+            next = match commands.try_recv() {
+                Ok(command) => Some(command),
+                Err(mpsc::error::TryRecvError::Empty) => return WriteState::Open,
                 Err(mpsc::error::TryRecvError::Disconnected) => None,
             };
         }
@@ -119,71 +126,72 @@
         self.bytes.is_empty()
     }
 
-    /// Writes as much as the system takes.
-    fn write(&mut self, stream: &TcpStream, viewer: &Viewer) -> Result<(), Error> {
-        while self.at < self.bytes.len() {
-            match stream.try_write(&self.bytes[self.at..]) {
-                Ok(n) => self.at += n,
+    /// Writes as much as the socket accepts now.
+    fn write(&mut self, stream: &TcpStream, conn: &ViewerConn) -> Result<(), Error> {
+        while self.written_len < self.bytes.len() {
+            match stream.try_write(&self.bytes[self.written_len..]) {
+                Ok(n) => self.written_len += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) => return Err(e),
             }
         }
-        viewer.written(self.bytes.len());
+        conn.remove_queued(self.bytes.len());
         self.bytes.clear();
-        self.at = 0;
+        self.written_len = 0;
         Ok(())
     }
 }
 
-/// Reads and writes side by side until the connection ends: a viewer that does not read is heard all the same. Its own
-/// task; never cancelled but with the process.
-async fn serve(stream: Arc<TcpStream>, viewer: &Viewer, mut queue: mpsc::Receiver<Reply>) {
-    let mut buf = BytesMut::with_capacity(READ);
-    let mut out = Out::default();
-    // `Some`: a message is owed by then.
-    let mut owed = Some(Instant::now() + WHOLE);
-    // Something must have been taken by then.
-    let mut taken_by = Instant::now();
-    let mut reading = Reading::On;
-    let mut closing = Closing::No;
-    let mut last_words = false;
-    while closing == Closing::No || !out.is_empty() {
+/// Reads and writes concurrently until the connection ends, so that messages are also received from a viewer
+/// that does not read. Runs as a task that is never cancelled before the process ends.
+async fn serve(stream: Arc<TcpStream>, conn: &ViewerConn, mut command_rx: mpsc::Receiver<ViewerCommand>) {
+    let mut buf = BytesMut::with_capacity(READ_BUFFER_BYTES);
+    let mut write_buf = WriteBuffer::default();
+    // Time by which a message must be complete; `None` while none has begun.
+    let mut message_deadline = Some(Instant::now() + MESSAGE_TIMEOUT);
+    // Time by which the viewer must accept some bytes; unused while there is nothing to write.
+    let mut write_deadline = Instant::now();
+    let mut read_state = ReadState::Open;
+    let mut write_state = WriteState::Open;
+    let mut wrote_before_close = false;
+    while write_state == WriteState::Open || !write_buf.is_empty() {
         tokio::select! {
-            reply = queue.recv(), if out.is_empty() => {
-                closing = out.gather(reply, &mut queue);
-                last_words = !out.is_empty();
-                taken_by = Instant::now() + WRITE;
+            command = command_rx.recv(), if write_buf.is_empty() => {
+                write_state = write_buf.collect(command, &mut command_rx);
+                wrote_before_close = !write_buf.is_empty();
+                write_deadline = Instant::now() + WRITE_TIMEOUT;
             }
-            ready = stream.writable(), if !out.is_empty() => {
-                let before = out.at;
-                if ready.is_err() || out.write(&stream, viewer).is_err() {
+            ready = stream.writable(), if !write_buf.is_empty() => {
+                let before = write_buf.written_len;
+                if ready.is_err() || write_buf.write(&stream, conn).is_err() {
                     return;
                 }
-                if out.at > before {
-                    taken_by = Instant::now() + WRITE;
+                if write_buf.written_len > before {
+                    write_deadline = Instant::now() + WRITE_TIMEOUT;
                 }
             }
-            () = sleep_until(taken_by), if !out.is_empty() => return,
-            () = viewer.taken(), if reading == Reading::Full => {
-                reading = decode(&mut buf, viewer, &mut owed);
+            () = sleep_until(write_deadline), if !write_buf.is_empty() => return,
+            () = conn.wait_taken(), if read_state == ReadState::Paused => {
+                read_state = decode(&mut buf, conn, &mut message_deadline);
             }
-            ready = stream.readable(), if reading == Reading::On => {
-                buf.reserve(READ);
+            ready = stream.readable(), if read_state == ReadState::Open => {
+                buf.reserve(READ_BUFFER_BYTES);
                 let read = ready.and_then(|()| stream.try_read_buf(&mut buf));
                 match read {
-                    Ok(n) if n > 0 => reading = decode(&mut buf, viewer, &mut owed),
+                    Ok(n) if n > 0 => read_state = decode(&mut buf, conn, &mut message_deadline),
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                    // What was answered before is still written: the desk lets go of it behind that.
+                    // Responses to earlier messages are still written: the event loop drops its handle after
+                    // them.
                     Ok(_) => {
-                        (reading, owed) = (Reading::Over, None);
-                        viewer.end();
+                        (read_state, message_deadline) = (ReadState::Closed, None);
+                        conn.close_read();
                     }
                     Err(_) => return,
                 }
             }
-            () = sleep_until(owed.unwrap_or_else(Instant::now)), if owed.is_some() => {
-                (owed, reading) = (None, Reading::Over);
-                if !viewer.put(Came::Unreadable(400, ReplyTarget::default())) {
+            () = sleep_until(message_deadline.unwrap_or_else(Instant::now)), if message_deadline.is_some() => {
+                (message_deadline, read_state) = (None, ReadState::Closed);
+                if !conn.push_received(Received::Invalid(400, ReplyTarget::default())) {
                     return;
                 }
             }
@@ -192,43 +200,47 @@
     let Some(stream) = Arc::into_inner(stream) else { return };
     tokio::select! {
         () = async {
-            match closing {
-                Closing::Refused => lingering_close_within(stream, LINGER, LINGER_BYTES).await,
-                // Over bytes that were not read a close is a reset, which could take along what was just written.
-                _ if last_words && reading != Reading::Over => lingering_close(stream).await,
+            match write_state {
+                WriteState::ClosingAfterError => {
+                    lingering_close_within(stream, LINGER_TIMEOUT, LINGER_MAX_BYTES).await
+                }
+                // Closing with unread data resets the connection, and the viewer could lose the bytes just
+                // written.
+                _ if wrote_before_close && read_state != ReadState::Closed => lingering_close(stream).await,
                 _ => {}
             }
         } => {}
-        // Its place is wanted.
-        () = async { while queue.recv().await.is_some() {} }, if closing == Closing::Refused => {}
+        // The event loop has dropped the handle to make room for another connection.
+        () = async { while command_rx.recv().await.is_some() {} },
+            if write_state == WriteState::ClosingAfterError => {}
     }
 }
 
-/// Puts the whole messages of `buf` while there is room.
-fn decode(buf: &mut BytesMut, viewer: &Viewer, owed: &mut Option<Instant>) -> Reading {
-    while viewer.has_room() {
+/// Decodes the complete messages in `buf` and queues them for the event loop while there is room.
+fn decode(buf: &mut BytesMut, conn: &ViewerConn, message_deadline: &mut Option<Instant>) -> ReadState {
+    while conn.has_room() {
         match rtsp::decode(buf) {
             Ok(Some(message)) => {
-                *owed = None;
-                if !viewer.put(Came::Message(message)) {
-                    return Reading::Over;
+                *message_deadline = None;
+                if !conn.push_received(Received::Message(message)) {
+                    return ReadState::Closed;
                 }
             }
             Ok(None) => {
                 if !buf.is_empty() {
-                    owed.get_or_insert_with(|| Instant::now() + WHOLE);
+                    message_deadline.get_or_insert_with(|| Instant::now() + MESSAGE_TIMEOUT);
                 }
-                return Reading::On;
+                return ReadState::Open;
             }
-            Err(malformed) => {
-                *owed = None;
-                let status = if matches!(malformed, rtsp::Error::TooLong(_)) { 413 } else { 400 };
-                viewer.put(Came::Unreadable(status, malformed.reply_target().clone()));
-                return Reading::Over;
+            Err(error) => {
+                *message_deadline = None;
+                let status = if matches!(error, rtsp::Error::TooLong(_)) { 413 } else { 400 };
+                conn.push_received(Received::Invalid(status, error.reply_target().clone()));
+                return ReadState::Closed;
             }
         }
     }
-    Reading::Full
+    ReadState::Paused
 }
 
 #[cfg(test)]
--- a/crates/node/src/listen/tests.rs
+++ b/crates/node/src/listen/tests.rs
@@ -1,143 +1,152 @@
-//! What a connection's task does with what is queued, as its viewer and the desk come and go.
+//! Behaviour of a connection's task when bytes are queued, the viewer disconnects or the event loop drops its
+//! handle.
 
 use super::*;
-use crate::viewer_conn::MOST_QUEUED;
+use crate::viewer_conn::MAX_QUEUED_BYTES;
 use bytes::Bytes;
 use socket2::SockRef;
 use std::collections::VecDeque;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-const TEST: &[u8] = b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
-const ANSWER: &[u8] = b"RTSP/1.0 200 OK\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
-const LONG: Duration = Duration::from_secs(20);
+const PING: &[u8] = b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
+const RESPONSE: &[u8] = b"RTSP/1.0 200 OK\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Rig {
+struct Fixture {
     address: std::net::SocketAddr,
-    mails: mpsc::Receiver<Mail>,
-    rung: mpsc::Receiver<ConnId>,
+    event_rx: mpsc::Receiver<LoopEvent>,
+    ready_rx: mpsc::Receiver<ConnId>,
 }
 
-impl Rig {
-    /// With places for so many connections, and small buffers of the system.
-    async fn new(places: usize) -> Rig {
+impl Fixture {
+    /// Starts a listener with that many permits and with small socket buffers.
+    async fn new(permits: usize) -> Fixture {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         SockRef::from(&listener).set_send_buffer_size(4 * 1024).unwrap();
         let address = listener.local_addr().unwrap();
-        let (mail, mails) = mpsc::channel(8);
-        let (bell, rung) = mpsc::channel(64);
-        tokio::spawn(accept(listener, Arc::new(Semaphore::new(places)), mail, Bell::new(bell)));
-        Rig { address, mails, rung }
+        let (event_tx, event_rx) = mpsc::channel(8);
+        let (ready_tx, ready_rx) = mpsc::channel(64);
+        tokio::spawn(accept(
+            listener,
+            Arc::new(Semaphore::new(permits)),
+            event_tx,
+            ReadyNotifier::new(ready_tx),
+        ));
+        Fixture { address, event_rx, ready_rx }
     }
 
-    async fn open(&mut self) -> (TcpStream, ViewerHold) {
+    async fn connect(&mut self) -> (TcpStream, ViewerHandle) {
         let client = TcpStream::connect(self.address).await.unwrap();
         SockRef::from(&client).set_recv_buffer_size(4 * 1024).unwrap();
-        let Some(Mail::Opened(_, hold)) = self.mails.recv().await else { panic!("it is not told") };
-        (client, hold)
+        let Some(LoopEvent::ViewerConnected(_, handle)) = self.event_rx.recv().await else {
+            panic!("no connection event")
+        };
+        (client, handle)
     }
 }
 
-async fn all_of(client: &mut TcpStream) -> Vec<u8> {
-    let mut got = Vec::new();
-    // A reset is an end too, here.
-    let _ = tokio::time::timeout(LONG, client.read_to_end(&mut got)).await.expect("a close");
-    got
+async fn read_until_close(client: &mut TcpStream) -> Vec<u8> {
+    let mut received = Vec::new();
+    // A reset counts as a close here.
+    let _ = tokio::time::timeout(TEST_TIMEOUT, client.read_to_end(&mut received)).await.expect("a close");
+    received
 }
 
-/// The desk lets go of an idle connection where there are too many: an answer that it had queued in the same step was
-/// dropped with the task.
+/// The event loop evicts an idle connection just after it queued a response; the response used to be dropped
+/// with the task.
 #[tokio::test]
-async fn what_is_queued_when_the_desk_lets_go_is_written_first() {
-    let mut rig = Rig::new(8).await;
+async fn queued_bytes_are_written_after_the_handle_is_dropped() {
+    let mut fixture = Fixture::new(8).await;
     for refused in [false, true] {
-        let (mut client, hold) = rig.open().await;
-        assert!(hold.write(Bytes::from_static(ANSWER)));
+        let (mut client, handle) = fixture.connect().await;
+        assert!(handle.write(Bytes::from_static(RESPONSE)));
         if refused {
-            assert!(hold.close());
+            assert!(handle.close());
         }
-        drop(hold);
-        assert_eq!(all_of(&mut client).await, ANSWER, "refused: {refused}");
+        drop(handle);
+        assert_eq!(read_until_close(&mut client).await, RESPONSE, "refused: {refused}");
     }
 }
 
-/// A client that has asked and closed its side still reads what it was answered.
+/// A client that closes its side after a request still reads the response.
 #[tokio::test]
-async fn what_was_answered_before_a_half_close_is_written() {
-    let mut rig = Rig::new(8).await;
-    let (mut client, hold) = rig.open().await;
-    client.write_all(TEST).await.unwrap();
+async fn response_is_written_after_a_half_close() {
+    let mut fixture = Fixture::new(8).await;
+    let (mut client, handle) = fixture.connect().await;
+    client.write_all(PING).await.unwrap();
     client.shutdown().await.unwrap();
-    let mut came = 0;
+    let mut received = 0;
     loop {
-        tokio::time::timeout(LONG, rig.rung.recv()).await.expect("it is told").unwrap();
-        let (messages, ended) = hold.viewer.take();
-        came += messages.len();
-        if ended {
+        tokio::time::timeout(TEST_TIMEOUT, fixture.ready_rx.recv()).await.expect("a notification").unwrap();
+        let (items, read_closed) = handle.conn.take_received();
+        received += items.len();
+        if read_closed {
             break;
         }
     }
-    assert_eq!(came, 1);
-    assert!(hold.write(Bytes::from_static(ANSWER)));
-    drop(hold);
-    assert_eq!(all_of(&mut client).await, ANSWER);
+    assert_eq!(received, 1);
+    assert!(handle.write(Bytes::from_static(RESPONSE)));
+    drop(handle);
+    assert_eq!(read_until_close(&mut client).await, RESPONSE);
 }
 
-/// One whose place is wanted is closed though what it still sends was to be read out.
+/// A lingering connection is closed early if another connection needs its permit.
 #[tokio::test]
-async fn one_that_is_read_out_gives_up_its_place() {
-    let mut rig = Rig::new(1).await;
-    let (mut client, hold) = rig.open().await;
-    assert!(hold.write(Bytes::from_static(ANSWER)) && hold.close());
-    let mut got = vec![0; ANSWER.len()];
-    client.read_exact(&mut got).await.unwrap();
-    let mut next = TcpStream::connect(rig.address).await.unwrap();
-    assert!(rig.mails.try_recv().is_err(), "there is no place for it yet");
-    drop(hold);
-    // Well before it would have been read out.
-    let told = tokio::time::timeout(LINGER / 2, rig.mails.recv()).await;
-    let Ok(Some(Mail::Opened(_, second))) = told else { panic!("it has kept its place") };
-    assert!(second.write(Bytes::from_static(ANSWER)));
-    next.read_exact(&mut got).await.unwrap();
+async fn lingering_connection_releases_its_permit_when_the_handle_is_dropped() {
+    let mut fixture = Fixture::new(1).await;
+    let (mut client, handle) = fixture.connect().await;
+    assert!(handle.write(Bytes::from_static(RESPONSE)) && handle.close());
+    let mut received = vec![0; RESPONSE.len()];
+    client.read_exact(&mut received).await.unwrap();
+    let mut next = TcpStream::connect(fixture.address).await.unwrap();
+    assert!(fixture.event_rx.try_recv().is_err(), "there is no permit for the second connection yet");
+    drop(handle);
+    // Well before the linger time-out.
+    let event = tokio::time::timeout(LINGER_TIMEOUT / 2, fixture.event_rx.recv()).await;
+    let Ok(Some(LoopEvent::ViewerConnected(_, second))) = event else { panic!("the permit is still held") };
+    assert!(second.write(Bytes::from_static(RESPONSE)));
+    next.read_exact(&mut received).await.unwrap();
     drop(client);
 }
 
-/// It takes nothing of what it is sent, and gives its set-up up meanwhile: that is heard.
+/// The viewer reads nothing, so that writes block, and sends a TEARDOWN.
 #[tokio::test]
-async fn a_viewer_that_does_not_read_is_heard() {
+async fn teardown_is_received_from_a_viewer_that_does_not_read() {
     const SID: &str = "00000000000000aa";
-    let mut rig = Rig::new(8).await;
-    let (mut client, hold) = rig.open().await;
-    assert!(hold.write(vec![b'x'; MOST_QUEUED].into()));
-    assert!(!hold.viewer.has_left(SID));
-    let word =
+    let mut fixture = Fixture::new(8).await;
+    let (mut client, handle) = fixture.connect().await;
+    assert!(handle.write(vec![b'x'; MAX_QUEUED_BYTES].into()));
+    assert!(!handle.conn.has_abandoned(SID));
+    let teardown =
         format!("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {SID}\r\nContent-Length: 0\r\n\r\n");
-    client.write_all(word.as_bytes()).await.unwrap();
-    tokio::time::timeout(LONG, rig.rung.recv()).await.expect("it is heard").unwrap();
-    assert!(hold.viewer.has_left(SID) && !hold.viewer.has_left("00000000000000ab"));
-    assert!(!hold.write(Bytes::from_static(ANSWER)), "too much waits");
+    client.write_all(teardown.as_bytes()).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, fixture.ready_rx.recv()).await.expect("a notification").unwrap();
+    assert!(handle.conn.has_abandoned(SID) && !handle.conn.has_abandoned("00000000000000ab"));
+    assert!(!handle.write(Bytes::from_static(RESPONSE)), "too many bytes are queued");
 }
 
-/// More than may wait is read once the desk has taken what was there; nothing is lost, and the end comes last.
+/// More than the pending limit is sent: reading pauses until the event loop has taken the received items.
+/// Nothing is lost, and the close is reported last.
 #[tokio::test]
-async fn reading_stops_at_what_may_wait_and_goes_on() {
-    const MANY: usize = 20_000;
-    let mut rig = Rig::new(8).await;
-    let (mut client, hold) = rig.open().await;
+async fn reading_pauses_at_the_pending_limit_and_resumes() {
+    const MESSAGES: usize = 20_000;
+    let mut fixture = Fixture::new(8).await;
+    let (mut client, handle) = fixture.connect().await;
     let writer = tokio::spawn(async move {
-        client.write_all(&TEST.repeat(MANY)).await.unwrap();
+        client.write_all(&PING.repeat(MESSAGES)).await.unwrap();
         client.shutdown().await.unwrap();
         client
     });
-    let (mut came, mut most) = (0, 0);
+    let (mut received, mut max_at_once) = (0, 0);
     loop {
-        tokio::time::timeout(LONG, rig.rung.recv()).await.expect("more").unwrap();
-        let (messages, ended): (VecDeque<Came>, bool) = hold.viewer.take();
-        (came, most) = (came + messages.len(), most.max(messages.len()));
-        if ended {
+        tokio::time::timeout(TEST_TIMEOUT, fixture.ready_rx.recv()).await.expect("a notification").unwrap();
+        let (items, read_closed): (VecDeque<Received>, bool) = handle.conn.take_received();
+        (received, max_at_once) = (received + items.len(), max_at_once.max(items.len()));
+        if read_closed {
             break;
         }
     }
-    assert_eq!(came, MANY);
-    assert!(most < MANY / 4, "{most} at once");
+    assert_eq!(received, MESSAGES);
+    assert!(max_at_once < MESSAGES / 4, "{max_at_once} at once");
     drop(writer.await);
 }
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -1,6 +1,6 @@
-//! What the desk is told.
+//! Messages between the event loop and the tasks that own sockets.
 
-use crate::viewer_conn::{ViewerHold, Waits};
+use crate::viewer_conn::{SetupWaiter, ViewerHandle};
 use bytes::Bytes;
 use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::channel::ChannelUpdate;
@@ -14,162 +14,170 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Most mails that wait for the desk, 16 KiB each at most; a sender past them waits, and with it its socket.
-pub(crate) const MOST_MAILS: usize = 512;
+/// Capacity of the event loop's queue; an event holds at most 16 KiB. When the queue is full, senders wait
+/// and stop reading their sockets.
+pub(crate) const MAX_QUEUED_EVENTS: usize = 512;
 
-/// Places of a connection's queue that are kept for its last bytes and its close.
-const KEPT: usize = 2;
+/// Slots of a link's command queue reserved for its last bytes and its close.
+const RESERVED_SLOTS: usize = 2;
 
-/// What the task of a connection to a video server is to do.
+/// Command to the task of a connection to a video server.
 #[derive(Debug)]
-pub(crate) enum Order {
-    /// Write this.
+pub(crate) enum LinkCommand {
+    /// Write these bytes.
     Write(Bytes),
-    /// Write a set-up, unless it was recalled or has waited too long.
-    Setup(First),
-    /// Write what came before, then close, and read on for so long while the server does not close in turn.
+    /// Write a set-up, unless it is cancelled or obsolete by then.
+    Setup(PendingSetup),
+    /// Write everything queued before, then shut down the write side and keep reading until the server closes
+    /// too, at most for this time.
     Close(Duration),
 }
 
-/// A set-up for a connection.
+/// A set-up that is queued on a link and not yet written.
 #[derive(Debug)]
-pub(crate) struct First {
+pub(crate) struct PendingSetup {
     pub(crate) attempt: AttemptId,
+    /// Encoded START line.
     pub(crate) line: Bytes,
-    /// Settles whether its first byte goes out.
-    pub(crate) gate: Arc<SendDecision>,
-    /// If it has not gone out by then, it never does.
-    pub(crate) until: Duration,
+    /// Shared with the event loop, which may cancel the set-up until its first byte is written.
+    pub(crate) send_decision: Arc<SendDecision>,
+    /// Time on `clock` after which the set-up must not be sent any more.
+    pub(crate) send_deadline: Duration,
     pub(crate) clock: Clock,
-    /// If nobody waits any more, it never does.
-    pub(crate) waits: Option<Waits>,
+    /// The viewer waiting for the set-up; it is not sent if the viewer has left. `None` if unknown.
+    pub(crate) waiter: Option<SetupWaiter>,
 }
 
-/// Whether a set-up goes out.
+/// Result of claiming the right to send a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Passed {
-    /// Its first byte may be written, now.
-    Goes,
-    /// It was recalled, and the desk knows.
-    Recalled,
-    /// It was decided too long ago, or its viewer has left; the desk is to be told.
-    Moot,
+pub(crate) enum SendClaim {
+    /// The first byte may be written now.
+    Granted,
+    /// The event loop has cancelled the set-up.
+    Cancelled,
+    /// The send deadline has passed or the viewer has left; the event loop must be notified.
+    Obsolete,
 }
 
-impl First {
-    /// Passes the gate.
-    pub(crate) fn pass(&self) -> Passed {
-        if self.clock.now() > self.until || self.waits.as_ref().is_some_and(Waits::has_left) {
-            Passed::Moot
-        } else if self.gate.try_send() {
-            Passed::Goes
+impl PendingSetup {
+    /// Decides, once and for all, whether the set-up may be written.
+    pub(crate) fn claim_send(&self) -> SendClaim {
+        if self.clock.now() > self.send_deadline
+            || self.waiter.as_ref().is_some_and(SetupWaiter::has_abandoned)
+        {
+            SendClaim::Obsolete
+        } else if self.send_decision.try_send() {
+            SendClaim::Granted
         } else {
-            Passed::Recalled
+            SendClaim::Cancelled
         }
     }
 }
 
-/// What was gathered besides bytes.
+/// Result of collecting queued commands, besides the bytes to write.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(crate) struct Gathered {
-    /// A close comes behind them, and for how long it is read on.
-    pub(crate) close: Option<Duration>,
-    /// Set-ups among them that were moot: they were not written.
-    pub(crate) moot: Vec<AttemptId>,
+pub(crate) struct CommandBatch {
+    /// Time to keep reading after the close that follows the bytes; `None` if the link stays open.
+    pub(crate) close_linger: Option<Duration>,
+    /// Set-ups in the batch that were obsolete and therefore not written.
+    pub(crate) obsolete: Vec<AttemptId>,
 }
 
-/// Gathers what is queued, beginning with `first`, into `out`, whose old bytes go.
-pub(crate) fn gather(
-    first: Option<Order>,
-    orders: &mut mpsc::Receiver<Order>,
+/// Replaces the contents of `out` with the bytes of `first` and of all commands queued behind it.
+pub(crate) fn collect_commands(
+    first: Option<LinkCommand>,
+    commands: &mut mpsc::Receiver<LinkCommand>,
     out: &mut Vec<u8>,
-) -> Gathered {
+) -> CommandBatch {
     out.clear();
-    let (mut next, mut gathered) = (first, Gathered::default());
+    let (mut next, mut batch) = (first, CommandBatch::default());
     loop {
         match next {
-            Some(Order::Write(bytes)) => out.extend_from_slice(&bytes),
-            Some(Order::Setup(setup)) => match setup.pass() {
-                Passed::Goes => out.extend_from_slice(&setup.line),
-                Passed::Recalled => {}
-                Passed::Moot => gathered.moot.push(setup.attempt),
+            Some(LinkCommand::Write(bytes)) => out.extend_from_slice(&bytes),
+            Some(LinkCommand::Setup(setup)) => match setup.claim_send() {
+                SendClaim::Granted => out.extend_from_slice(&setup.line),
+                SendClaim::Cancelled => {}
+                SendClaim::Obsolete => batch.obsolete.push(setup.attempt),
             },
-            Some(Order::Close(linger)) => return Gathered { close: Some(linger), ..gathered },
-            None => return Gathered { close: Some(Duration::ZERO), ..gathered },
+            Some(LinkCommand::Close(linger)) => return CommandBatch { close_linger: Some(linger), ..batch },
+            None => return CommandBatch { close_linger: Some(Duration::ZERO), ..batch },
         }
-        match orders.try_recv() {
-            Ok(order) => next = Some(order),
-            Err(_) => return gathered,
+        match commands.try_recv() {
+            Ok(command) => next = Some(command),
+            Err(_) => return batch,
         }
     }
 }
 
-/// The desk's hold on a connection to a video server. Dropping it closes the connection at once.
+/// The event loop's handle to the task of a connection to a video server. Dropping it closes the connection
+/// at once.
 #[derive(Debug)]
-pub(crate) struct Hold {
-    pub(crate) orders: mpsc::Sender<Order>,
+pub(crate) struct LinkHandle {
+    pub(crate) commands: mpsc::Sender<LinkCommand>,
     pub(crate) task: AbortHandle,
 }
 
-impl Hold {
-    /// Queues bytes; `false`: its peer reads too slowly, or the connection is gone.
+impl LinkHandle {
+    /// Queues bytes. Returns false if the queue is full because the server reads too slowly, or if the
+    /// connection has ended.
     pub(crate) fn write(&self, bytes: Bytes) -> bool {
-        self.orders.capacity() > KEPT && self.last(bytes)
+        self.commands.capacity() > RESERVED_SLOTS && self.write_last(bytes)
     }
 
-    /// Queues the last bytes before a close, for which a place is kept; `false`: the connection is gone.
-    pub(crate) fn last(&self, bytes: Bytes) -> bool {
-        self.orders.try_send(Order::Write(bytes)).is_ok()
+    /// Queues the last bytes before a close, in a reserved slot. Returns false if the connection has ended.
+    pub(crate) fn write_last(&self, bytes: Bytes) -> bool {
+        self.commands.try_send(LinkCommand::Write(bytes)).is_ok()
     }
 
-    /// Queues a set-up; gives it back if the queue is full or the connection is gone.
-    pub(crate) fn setup(&self, setup: First) -> Result<(), First> {
-        match self.orders.try_reserve() {
-            Ok(place) if self.orders.capacity() >= KEPT => {
-                place.send(Order::Setup(setup));
+    /// Queues a set-up; returns it as the error if the queue is full or the connection has ended.
+    pub(crate) fn send_setup(&self, setup: PendingSetup) -> Result<(), PendingSetup> {
+        match self.commands.try_reserve() {
+            Ok(slot) if self.commands.capacity() >= RESERVED_SLOTS => {
+                slot.send(LinkCommand::Setup(setup));
                 Ok(())
             }
             _ => Err(setup),
         }
     }
 
-    /// Whether its task has taken all that was queued.
-    pub(crate) fn is_written(&self) -> bool {
-        self.orders.is_closed() || self.orders.capacity() == self.orders.max_capacity()
+    /// Returns whether the task has received every queued command.
+    pub(crate) fn is_queue_empty(&self) -> bool {
+        self.commands.is_closed() || self.commands.capacity() == self.commands.max_capacity()
     }
 
-    /// Has it closed after what is queued, and read on for so long; `false`: it can't be told, dropping the hold closes it.
+    /// Closes the connection after the queued bytes and keeps reading for `linger`. Returns false if the
+    /// command could not be queued; dropping the handle then closes the connection.
     pub(crate) fn close(&self, linger: Duration) -> bool {
-        self.orders.try_send(Order::Close(linger)).is_ok()
+        self.commands.try_send(LinkCommand::Close(linger)).is_ok()
     }
 }
 
-impl Drop for Hold {
+impl Drop for LinkHandle {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// What happened.
+/// Item of the event loop's queue.
 #[derive(Debug)]
-pub(crate) enum Mail {
-    /// A viewer's connection came up.
-    Opened(ConnId, ViewerHold),
-    /// A connection to a video server came up, and its first line, if there is one, goes out.
-    Up(LinkId),
-    /// That set-up was not sent, and never will be on it: it was decided too long ago, or its viewer has left.
-    Unsent(LinkId, AttemptId),
-    /// A line of a video server.
-    Line(LinkId, Line),
-    /// A connection to a video server is gone or did not come up, and the releases of which it is not proven that they
-    /// were read there.
-    Down(LinkId, LinkEndReason, Vec<Line>),
-    /// An event of the command channel, and on which of its streams it came.
-    Told(u64, ChannelUpdate),
-    /// A datagram of another session manager.
-    Gossip(Bytes),
-    /// The configuration was read again.
-    Config(Box<Config>),
-    /// The process is to end.
+pub(crate) enum LoopEvent {
+    /// A viewer connected.
+    ViewerConnected(ConnId, ViewerHandle),
+    /// A connection to a video server was established; its first set-up, if any, is written next.
+    LinkUp(LinkId),
+    /// The set-up was not sent on this link and never will be: its deadline passed, or its viewer has left.
+    SetupNotSent(LinkId, AttemptId),
+    /// A line from a video server.
+    LineReceived(LinkId, Line),
+    /// A connection to a video server ended or could not be established. The lines are releases that the
+    /// server may not have read.
+    LinkDown(LinkId, LinkEndReason, Vec<Line>),
+    /// An update from the command channel, with the number of the stream that delivered it.
+    ChannelUpdate(u64, ChannelUpdate),
+    /// A datagram from another session manager.
+    GossipReceived(Bytes),
+    /// The configuration file was reloaded.
+    ConfigReloaded(Box<Config>),
+    /// The process was asked to terminate.
     Terminate,
 }
--- a/crates/node/src/viewer_conn.rs
+++ b/crates/node/src/viewer_conn.rs
@@ -1,8 +1,9 @@
-//! A viewer's connection, as its task, the desk and the gates of its set-ups share it: what has come on it and was not
-//! taken yet, whether its viewer is still there, and how much waits to be written to it.
+//! State of a viewer's connection, shared by its task, the event loop and the set-ups queued for it: received
+//! and not yet processed messages, whether the viewer is still connected, and how many bytes wait to be
+//! written.
 //!
-//! Nothing here waits behind another connection: that a viewer has closed its connection, or has given a set-up up, is
-//! known at the gate of the set-up however many messages of others wait for the desk.
+//! Nothing here waits for another connection. A closed connection or a TEARDOWN is visible to a queued set-up
+//! however many messages of other connections the event loop has yet to process.
 
 use bytes::Bytes;
 use cloverhollow_platform::rtsp::{Message, Method, ReplyTarget, StartLine};
@@ -15,71 +16,76 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
 
-/// Most bytes that have come on one connection and wait for the desk; reading stops at them. Room for hundreds of
-/// set-ups that are taken back at once: nothing is begun for one whose end was read.
-const MOST_CAME: usize = 256 * 1024;
-/// The same on all connections together; past them each may have one message waiting.
-const MOST_CAME_ON_ALL: usize = 4 * 1024 * 1024;
-/// What a message takes besides its own bytes.
-const OF_ITSELF: usize = 128;
-/// Most bytes that wait to be written to one connection, answers and releases together.
-pub(crate) const MOST_QUEUED: usize = 1024 * 1024;
-
-/// What came on a viewer's connection.
+/// Maximum number of received bytes of one connection that wait for the event loop; reading pauses above it.
+/// The limit holds hundreds of set-ups, so that a burst of set-ups and their TEARDOWNs is read in full and
+/// none is started for a viewer that has already cancelled.
+const MAX_PENDING_BYTES: usize = 256 * 1024;
+/// Maximum number of received bytes of all connections that wait for the event loop; above it, each
+/// connection may have one message waiting.
+const MAX_TOTAL_PENDING_BYTES: usize = 4 * 1024 * 1024;
+/// Memory accounted for a received message in addition to its own bytes.
+const MESSAGE_OVERHEAD_BYTES: usize = 128;
+/// Maximum number of bytes, responses and releases together, that wait to be written to one connection.
+pub(crate) const MAX_QUEUED_BYTES: usize = 1024 * 1024;
+
+/// Item received on a viewer's connection.
 #[derive(Debug)]
-pub(crate) enum Came {
-    /// A whole message.
+pub(crate) enum Received {
+    /// A complete message.
     Message(Message),
-    /// What can't be read any further: it is owed an error with this status, and a close.
-    Unreadable(u16, ReplyTarget),
+    /// Data that cannot be parsed, or an incomplete message; it is answered with an error of this status,
+    /// then the connection is closed.
+    Invalid(u16, ReplyTarget),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    came: VecDeque<Came>,
-    bytes: usize,
-    /// Nothing more comes: the viewer has closed its side, or the connection broke.
-    ended: bool,
-    /// The desk is told that there is something, and has not taken it yet.
-    rung: bool,
+    pending: VecDeque<Received>,
+    pending_bytes: usize,
+    /// Nothing more will be received: the viewer has closed its side, or the connection broke.
+    read_closed: bool,
+    /// The event loop has been notified and has not taken the received items yet.
+    is_notified: bool,
 }
 
-/// Where all connections tell the desk that there is something.
+/// Notifies the event loop of connections that have received something.
 #[derive(Debug)]
-pub(crate) struct Bell {
-    /// Each connection has one place at the most.
-    rung: mpsc::Sender<ConnId>,
-    /// Bytes that wait for the desk.
-    waiting: AtomicUsize,
+pub(crate) struct ReadyNotifier {
+    /// Queue of ready connections; each connection is in it at most once.
+    ready_tx: mpsc::Sender<ConnId>,
+    /// Received bytes of all connections that wait for the event loop.
+    pending_bytes: AtomicUsize,
 }
 
-impl Bell {
-    pub(crate) fn new(rung: mpsc::Sender<ConnId>) -> Arc<Self> {
-        Arc::new(Bell { rung, waiting: AtomicUsize::new(0) })
+impl ReadyNotifier {
+    pub(crate) fn new(ready_tx: mpsc::Sender<ConnId>) -> Arc<Self> {
+        Arc::new(ReadyNotifier { ready_tx, pending_bytes: AtomicUsize::new(0) })
     }
 }
 
+/// A viewer's connection, without the socket itself.
 #[derive(Debug)]
-pub(crate) struct Viewer {
+pub(crate) struct ViewerConn {
     id: ConnId,
-    /// Its task's: the connection ends with the task.
+    /// Owned by the connection's task, so that the connection ends with the task.
     stream: Weak<TcpStream>,
     state: Mutex<State>,
-    /// The desk has taken what was there.
-    taken: Notify,
-    queued: AtomicUsize,
-    bell: Arc<Bell>,
+    /// Signalled when the event loop has taken the received items.
+    items_taken: Notify,
+    /// Bytes that wait to be written.
+    queued_bytes: AtomicUsize,
+    notifier: Arc<ReadyNotifier>,
 }
 
-impl Viewer {
-    pub(crate) fn new(id: ConnId, stream: &Arc<TcpStream>, bell: Arc<Bell>) -> Self {
-        Viewer {
+impl ViewerConn {
+    pub(crate) fn new(id: ConnId, stream: &Arc<TcpStream>, notifier: Arc<ReadyNotifier>) -> Self {
+        ViewerConn {
             id,
             stream: Arc::downgrade(stream),
             state: Mutex::default(),
-            taken: Notify::new(),
-            queued: AtomicUsize::new(0),
-            bell,
+            items_taken: Notify::new(),
+            queued_bytes: AtomicUsize::new(0),
+            notifier,
         }
     }
 
@@ -87,134 +93,141 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether more may be put.
+    /// Returns whether another item may be received now.
     pub(crate) fn has_room(&self) -> bool {
-        let own = self.state().bytes;
-        own == 0 || (own < MOST_CAME && self.bell.waiting.load(Relaxed) < MOST_CAME_ON_ALL)
+        let own_bytes = self.state().pending_bytes;
+        own_bytes == 0
+            || (own_bytes < MAX_PENDING_BYTES
+                && self.notifier.pending_bytes.load(Relaxed) < MAX_TOTAL_PENDING_BYTES)
     }
 
-    /// Puts what came; `false`: the desk is gone.
-    pub(crate) fn put(&self, came: Came) -> bool {
-        let mut bytes = OF_ITSELF;
-        if let Came::Message(m) = &came {
+    /// Queues a received item for the event loop. Returns false if the event loop has ended.
+    pub(crate) fn push_received(&self, item: Received) -> bool {
+        let mut bytes = MESSAGE_OVERHEAD_BYTES;
+        if let Received::Message(m) = &item {
             bytes += m.body.len() + m.headers.iter().map(|(n, v)| n.len() + v.len()).sum::<usize>();
         }
-        self.bell.waiting.fetch_add(bytes, Relaxed);
+        self.notifier.pending_bytes.fetch_add(bytes, Relaxed);
         let mut state = self.state();
-        state.bytes += bytes;
-        state.came.push_back(came);
-        self.ring(&mut state)
+        state.pending_bytes += bytes;
+        state.pending.push_back(item);
+        self.notify(&mut state)
     }
 
-    /// Nothing more comes.
-    pub(crate) fn end(&self) {
+    /// Records that nothing more will be received.
+    pub(crate) fn close_read(&self) {
         let mut state = self.state();
-        if !std::mem::replace(&mut state.ended, true) {
-            self.ring(&mut state);
+        if !std::mem::replace(&mut state.read_closed, true) {
+            self.notify(&mut state);
         }
     }
 
-    fn ring(&self, state: &mut State) -> bool {
-        state.rung = state.rung || self.bell.rung.try_send(self.id).is_ok();
-        state.rung
+    fn notify(&self, state: &mut State) -> bool {
+        state.is_notified = state.is_notified || self.notifier.ready_tx.try_send(self.id).is_ok();
+        state.is_notified
     }
 
-    /// All that came so far, for the desk, and whether nothing more does.
-    pub(crate) fn take(&self) -> (VecDeque<Came>, bool) {
+    /// Takes all received items, and whether nothing more will be received. Called by the event loop.
+    pub(crate) fn take_received(&self) -> (VecDeque<Received>, bool) {
         let mut state = self.state();
-        self.bell.waiting.fetch_sub(std::mem::take(&mut state.bytes), Relaxed);
-        state.rung = false;
-        self.taken.notify_one();
-        (std::mem::take(&mut state.came), state.ended)
+        self.notifier.pending_bytes.fetch_sub(std::mem::take(&mut state.pending_bytes), Relaxed);
+        state.is_notified = false;
+        self.items_taken.notify_one();
+        (std::mem::take(&mut state.pending), state.read_closed)
     }
 
-    /// Waits until the desk has taken what was there. Cancel-safe.
-    pub(crate) async fn taken(&self) {
-        self.taken.notified().await;
+    /// Waits until the event loop has taken the received items. Cancel-safe.
+    pub(crate) async fn wait_taken(&self) {
+        self.items_taken.notified().await;
     }
 
-    /// Whether the viewer has closed its connection, its own side at the least. Asks the system itself: a close that is
-    /// hidden behind bytes that were not read yet counts.
+    /// Returns whether the viewer has closed at least its own side of the connection. Queries the socket
+    /// directly, so that a close behind unread bytes is detected too.
     pub(crate) fn has_closed(&self) -> bool {
-        if self.state().ended {
+        if self.state().read_closed {
             return true;
         }
         let Some(stream) = self.stream.upgrade() else { return true };
-        let mut of = [PollFd::new(&*stream, PollFlags::RDHUP)];
+        let mut fds = [PollFd::new(&*stream, PollFlags::RDHUP)];
         let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        // One that the system can't be asked about is taken for open: its task hears of the end.
-        poll(&mut of, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok() && of[0].revents().intersects(closed)
+        // If the query fails, the connection counts as open; its task will detect the end.
+        poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok()
+            && fds[0].revents().intersects(closed)
     }
 
-    /// Whether nobody waits for that set-up any more: its viewer has closed, or given it up.
-    pub(crate) fn has_left(&self, sid: &str) -> bool {
-        let gives_up = |came: &Came| match came {
-            Came::Message(m) => {
+    /// Returns whether the viewer has abandoned the set-up, by a pending TEARDOWN or by closing the
+    /// connection.
+    pub(crate) fn has_abandoned(&self, sid: &str) -> bool {
+        let is_teardown = |item: &Received| match item {
+            Received::Message(m) => {
                 matches!(m.start_line, StartLine::Request { method: Method::Teardown, .. })
                     && m.header("Session") == Some(sid)
             }
-            Came::Unreadable(..) => false,
+            Received::Invalid(..) => false,
         };
-        self.state().came.iter().any(gives_up) || self.has_closed()
+        self.state().pending.iter().any(is_teardown) || self.has_closed()
     }
 
-    /// Counts bytes that are to be written; `false`: too many wait, its viewer does not read.
-    fn queue(&self, bytes: usize) -> bool {
-        self.queued.fetch_add(bytes, Relaxed) + bytes <= MOST_QUEUED
+    /// Adds to the bytes that wait to be written. Returns false if there are too many because the viewer does
+    /// not read.
+    fn add_queued(&self, bytes: usize) -> bool {
+        self.queued_bytes.fetch_add(bytes, Relaxed) + bytes <= MAX_QUEUED_BYTES
     }
 
-    /// They are written.
-    pub(crate) fn written(&self, bytes: usize) {
-        self.queued.fetch_sub(bytes, Relaxed);
+    /// Subtracts written bytes from those that wait to be written.
+    pub(crate) fn remove_queued(&self, bytes: usize) {
+        self.queued_bytes.fetch_sub(bytes, Relaxed);
     }
 }
 
-impl Drop for Viewer {
+impl Drop for ViewerConn {
     fn drop(&mut self) {
-        let bytes = self.state().bytes;
-        self.bell.waiting.fetch_sub(bytes, Relaxed);
+        let bytes = self.state().pending_bytes;
+        self.notifier.pending_bytes.fetch_sub(bytes, Relaxed);
     }
 }
 
-/// Who waits for a set-up, as its gate asks.
+/// The viewer's side of a set-up that has not been sent yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Waits {
-    pub(crate) viewer: Arc<Viewer>,
+pub(crate) struct SetupWaiter {
+    pub(crate) conn: Arc<ViewerConn>,
     pub(crate) sid: SessionId,
 }
 
-impl Waits {
-    /// Whether nobody does any more.
-    pub(crate) fn has_left(&self) -> bool {
-        self.viewer.has_left(&self.sid)
+impl SetupWaiter {
+    /// Returns whether the viewer no longer waits for the set-up.
+    pub(crate) fn has_abandoned(&self) -> bool {
+        self.conn.has_abandoned(&self.sid)
     }
 }
 
-/// What a viewer's connection is to do.
+/// Command to the task of a viewer's connection.
 #[derive(Debug)]
-pub(crate) enum Reply {
-    /// Write this.
+pub(crate) enum ViewerCommand {
+    /// Write these bytes.
     Write(Bytes),
-    /// Write what came before, then close.
+    /// Write everything queued before, then close.
     Close,
 }
 
-/// The desk's hold on a viewer's connection. Dropping it closes the connection once what is queued is written.
+/// The event loop's handle to a viewer's connection. Dropping it closes the connection after the queued bytes
+/// are written.
 #[derive(Debug)]
-pub(crate) struct ViewerHold {
-    pub(crate) replies: mpsc::Sender<Reply>,
-    pub(crate) viewer: Arc<Viewer>,
+pub(crate) struct ViewerHandle {
+    pub(crate) commands: mpsc::Sender<ViewerCommand>,
+    pub(crate) conn: Arc<ViewerConn>,
 }
 
-impl ViewerHold {
-    /// Queues bytes; `false`: its viewer reads too slowly, or the connection is gone.
+impl ViewerHandle {
+    /// Queues bytes. Returns false if the viewer reads too slowly or the connection has ended.
     pub(crate) fn write(&self, bytes: Bytes) -> bool {
-        self.viewer.queue(bytes.len()) && self.replies.try_send(Reply::Write(bytes)).is_ok()
+        self.conn.add_queued(bytes.len()) && self.commands.try_send(ViewerCommand::Write(bytes)).is_ok()
     }
 
-    /// Has it closed after what is queued; `false`: it can't be told, dropping the hold closes it.
+    /// Closes the connection after the queued bytes. Returns false if the command could not be queued;
+    /// dropping the handle then closes the connection.
     pub(crate) fn close(&self) -> bool {
-        self.replies.try_send(Reply::Close).is_ok()
+        self.commands.try_send(ViewerCommand::Close).is_ok()
     }
 }
 
--- a/crates/node/src/viewer_conn/tests.rs
+++ b/crates/node/src/viewer_conn/tests.rs
@@ -1,8 +1,8 @@
-//! Whether a viewer is still there, at the gate of its set-up.
+//! Detection of viewers that have left before their set-up is sent.
 
 use super::*;
-use crate::link::{self, Way};
-use crate::messages::{First, Mail, Passed, MOST_MAILS};
+use crate::link::{self, LinkTarget};
+use crate::messages::{LoopEvent, PendingSetup, SendClaim, MAX_QUEUED_EVENTS};
 use cloverhollow_net::{Clock, SendDecision};
 use cloverhollow_platform::link_monitor::LinkId;
 use cloverhollow_session::AttemptId;
@@ -11,49 +11,49 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A viewer's connection that nobody reads, and the client's end.
-async fn unread() -> (Arc<TcpStream>, Arc<Viewer>, std::net::TcpStream) {
+/// Opens a viewer's connection that no task reads. Returns it with the client's end.
+async fn unread_connection() -> (Arc<TcpStream>, Arc<ViewerConn>, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Arc::new(listener.accept().await.unwrap().0);
-    let viewer = Arc::new(Viewer::new(ConnId(1), &stream, Bell::new(mpsc::channel(1).0)));
-    (stream, viewer, client)
+    let conn = Arc::new(ViewerConn::new(ConnId(1), &stream, ReadyNotifier::new(mpsc::channel(1).0)));
+    (stream, conn, client)
 }
 
-fn first(viewer: &Arc<Viewer>) -> First {
+fn pending_setup(conn: &Arc<ViewerConn>) -> PendingSetup {
     let clock = Clock::start();
-    let waits = Some(Waits { viewer: viewer.clone(), sid: "9b".into() });
-    let until = clock.now() + LONG;
+    let waiter = Some(SetupWaiter { conn: conn.clone(), sid: "9b".into() });
+    let send_deadline = clock.now() + TEST_TIMEOUT;
     let attempt = AttemptId { request: 1, number: 0 };
-    First {
+    PendingSetup {
         attempt,
         line: Bytes::from_static(b"a line\n"),
-        gate: Arc::new(SendDecision::default()),
-        until,
+        send_decision: Arc::new(SendDecision::default()),
+        send_deadline,
         clock,
-        waits,
+        waiter,
     }
 }
 
-/// Waits for the system alone; no task runs meanwhile.
-fn until_closed(viewer: &Viewer) {
-    let begun = Instant::now();
-    while !viewer.has_closed() {
-        assert!(begun.elapsed() < LONG, "the close is not seen");
+/// Blocks until the system reports the close; no task runs in the meantime.
+fn wait_until_closed(conn: &ViewerConn) {
+    let started_at = Instant::now();
+    while !conn.has_closed() {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "the close is not detected");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 #[tokio::test]
-async fn a_close_behind_what_was_not_read_is_seen_at_the_gate() {
-    for how in ["full", "half", "reset"] {
-        let (_stream, viewer, mut client) = unread().await;
+async fn close_behind_unread_bytes_makes_a_set_up_obsolete() {
+    for close in ["full", "half", "reset"] {
+        let (_stream, conn, mut client) = unread_connection().await;
         client.write_all(b"OPTIONS rtsp://media/ping RTSP/1.0\r\n").unwrap();
-        assert_eq!(first(&viewer).pass(), Passed::Goes, "it is there");
-        let held = first(&viewer);
-        let rest = match how {
+        assert_eq!(pending_setup(&conn).claim_send(), SendClaim::Granted, "the viewer is connected");
+        let setup = pending_setup(&conn);
+        let half_closed = match close {
             "full" => {
                 drop(client);
                 None
@@ -68,29 +68,30 @@
                 None
             }
         };
-        until_closed(&viewer);
-        assert_eq!(held.pass(), Passed::Moot, "{how}");
-        drop(rest);
+        wait_until_closed(&conn);
+        assert_eq!(setup.claim_send(), SendClaim::Obsolete, "{close}");
+        drop(half_closed);
     }
 }
 
-/// The connection to the video server comes up for a viewer who has gone meanwhile: nothing is written on it.
+/// The viewer leaves while the connection to the video server is being made: nothing is written on it.
 #[tokio::test]
-async fn what_waited_for_a_connection_is_not_written_for_one_who_has_left() {
-    let (_stream, viewer, mut client) = unread().await;
+async fn set_up_is_not_written_if_the_viewer_leaves_during_connect() {
+    let (_stream, conn, mut client) = unread_connection().await;
     let server = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (mail, mut mails) = mpsc::channel(MOST_MAILS);
-    let way = Way { id: LinkId(1), address: server.local_addr().unwrap(), connect: LONG };
-    let hold = link::spawn(way, Some(first(&viewer)), mail);
+    let (event_tx, mut event_rx) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let target =
+        LinkTarget { id: LinkId(1), address: server.local_addr().unwrap(), connect_timeout: TEST_TIMEOUT };
+    let handle = link::spawn(target, Some(pending_setup(&conn)), event_tx);
     client.write_all(b"x").unwrap();
     drop(client);
-    until_closed(&viewer);
+    wait_until_closed(&conn);
     let (stream, _) = server.accept().await.unwrap();
-    assert!(matches!(timeout(LONG, mails.recv()).await, Ok(Some(Mail::Up(_)))));
-    assert!(matches!(timeout(LONG, mails.recv()).await, Ok(Some(Mail::Unsent(..)))));
-    drop(hold);
-    let mut got = Vec::new();
+    assert!(matches!(timeout(TEST_TIMEOUT, event_rx.recv()).await, Ok(Some(LoopEvent::LinkUp(_)))));
+    assert!(matches!(timeout(TEST_TIMEOUT, event_rx.recv()).await, Ok(Some(LoopEvent::SetupNotSent(..)))));
+    drop(handle);
+    let mut received = Vec::new();
     let mut stream = stream;
-    let _ = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut got).await;
-    assert!(got.is_empty(), "{got:?}");
+    let _ = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut received).await;
+    assert!(received.is_empty(), "{received:?}");
 }
