--- a/crates/decisions/src/policy/attempts.rs
+++ b/crates/decisions/src/policy/attempts.rs
@@ -148,9 +148,9 @@
         let failed_before = self.servers.get(&server_id).is_some_and(|server| server.failures > 0);
         match outcome {
             AttemptOutcome::Error => self.record_error(id, server_id),
-            AttemptOutcome::ConnectFailed => self.record_failure(server_id, true, "connection failed"),
+            AttemptOutcome::ConnectFailed => self.record_failure(server_id, true, "no connection"),
             AttemptOutcome::Reset => self.record_failure(server_id, true, "connection lost"),
-            AttemptOutcome::Timeout => self.record_failure(server_id, failed_before, "no answer in time"),
+            AttemptOutcome::Timeout => self.record_failure(server_id, failed_before, "no answer"),
             _ => {
                 if let Some(server) = self.servers.get_mut(&server_id) {
                     server.probe_in_flight = false;
--- a/crates/decisions/src/policy/servers.rs
+++ b/crates/decisions/src/policy/servers.rs
@@ -62,7 +62,7 @@
             (server.failures == 0 && server.sessions.is_empty(), server.entry.cell)
         };
         if report.failed && unused {
-            self.record_failure(report.server, report.may_have_restarted, "failure reported by a peer");
+            self.record_failure(report.server, report.may_have_restarted, "a peer's word");
         }
         let is_older = |m: Option<&LinkAccount>| m.and_then(|m| m.read_at).is_none_or(|t| t < read_at);
         let rack_id = self.rack_id_of(cell);
@@ -205,7 +205,7 @@
         let Some(server) = self.servers.get_mut(&server_id) else { return };
         server.probe_in_flight = false;
         if (first && std::mem::replace(&mut server.last_answer_was_error, true)) || server.failures > 0 {
-            self.record_failure(server_id, false, "repeated errors");
+            self.record_failure(server_id, false, "errors");
         }
     }
 
@@ -221,7 +221,8 @@
         server.suspended_until =
             now + (INITIAL_BACKOFF * 2u32.pow((server.failures - 1).min(8))).min(MAX_BACKOFF);
         if server.failures == 1 {
-            self.actions.push(Action::Log(format!("server {server_id} suspended: {reason}")));
+            // Action texts are part of records: changing them breaks the replay of records written before.
+            self.actions.push(Action::Log(format!("server {server_id} rests: {reason}")));
         }
     }
 
@@ -235,7 +236,7 @@
         }
         if std::mem::take(&mut server.failures) > 0 {
             server.suspended_until = now;
-            self.actions.push(Action::Log(format!("server {server_id} resumed")));
+            self.actions.push(Action::Log(format!("server {server_id} works again")));
         }
     }
 }
