--- a/crates/front/src/out/kept.rs
+++ b/crates/front/src/out/kept.rs
@@ -7,7 +7,7 @@
 use super::said::Said;
 use super::Out;
 use crate::clock::boot;
-use cloverhollow_out::{Clerk, Kept};
+use cloverhollow_out::{Acceptor, PersistedState};
 use cloverhollow_settings::{FrontSettings, Outlives};
 use cloverhollow_store::beside;
 use serde::{Deserialize, Serialize};
@@ -25,11 +25,11 @@
     /// Lives whose permit is not given back.
     pub(super) owed: Vec<u64>,
     /// The witness, where this front is one.
-    pub(super) clerk: Option<Kept>,
+    pub(super) clerk: Option<PersistedState>,
 }
 
 impl Leaf {
-    pub(super) fn new(owed: Vec<u64>, clerk: Option<Kept>) -> Leaf {
+    pub(super) fn new(owed: Vec<u64>, clerk: Option<PersistedState>) -> Leaf {
         Leaf { boot: here(), owed, clerk }
     }
 }
@@ -106,7 +106,7 @@
 
     /// What is to be written.
     pub(crate) fn to_keep(&self) -> (u64, Option<(LeafFile, Leaf)>) {
-        let leaf = || Leaf::new(self.owed.clone(), self.clerk.as_ref().map(Clerk::kept));
+        let leaf = || Leaf::new(self.owed.clone(), self.clerk.as_ref().map(Acceptor::persisted_state));
         (self.version, self.file.clone().map(|file| (file, leaf())))
     }
 
--- a/crates/front/src/out/mod.rs
+++ b/crates/front/src/out/mod.rs
@@ -15,8 +15,8 @@
 
 use cloverhollow_members::View;
 use cloverhollow_out::{
-    Asker, AskerSettings, Broken, Clerk, Granted, Limits, Most, Place, Register, Seen, Subject, Term, Word,
-    World,
+    Acceptor, FleetView, GrantContext, GrantedLease, InvariantViolation, Limits, MaxOutOfService, Message,
+    Place, Proposer, ProposerConfig, Register, Subject, Term,
 };
 use cloverhollow_settings::FrontSettings;
 use kept::LeafFile;
@@ -48,7 +48,7 @@
 /// A permit as the register named it.
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    granted: Granted,
+    granted: GrantedLease,
     term: Term,
     /// It may be used once so much has been tried to be written.
     version: u64,
@@ -65,8 +65,8 @@
     forget: Duration,
     witnesses: Vec<SocketAddr>,
     limits: Limits,
-    clerk: Option<Clerk>,
-    asker: Asker,
+    clerk: Option<Acceptor>,
+    asker: Proposer,
     asks: Option<Asks>,
     next_ask: Duration,
     /// It was told to go out.
@@ -80,7 +80,7 @@
     /// A member's whole list came since the start.
     listed: bool,
     sure_at: Option<Duration>,
-    world: World,
+    world: FleetView,
     /// By which view, and when.
     looked: Option<(u64, Duration)>,
     /// Why the last ask came to nothing.
@@ -91,7 +91,7 @@
     version: u64,
     tried: u64,
     good: u64,
-    answers: VecDeque<(u64, SocketAddr, Word)>,
+    answers: VecDeque<(u64, SocketAddr, Message)>,
     words: Vec<(SocketAddr, Said)>,
     /// Lives that said that they take viewers, by address; members of the view alone.
     ready: BTreeMap<SocketAddr, u64>,
@@ -111,11 +111,17 @@
         let leaf = file.as_ref().map(LeafFile::read).unwrap_or_default();
         let (lease, witnesses) = (set.lease_ms.get(), m.witnesses.clone());
         let is_witness = witnesses.contains(&me);
-        let most = Most { fleet: set.fleet.value as u16, hall: set.hall.get() as u16, rack: u16::MAX };
-        let none = Most { fleet: 0, hall: 0, rack: 0 };
+        let most =
+            MaxOutOfService { fleet: set.fleet.value as u16, zone: set.hall.get() as u16, rack: u16::MAX };
+        let none = MaxOutOfService { fleet: 0, zone: 0, rack: 0 };
         let unsure_ms = m.suspicion_ms.get().as_millis() as u32;
-        let asker =
-            AskerSettings { me, life, witnesses: witnesses.clone(), longest: lease, seed: fastrand::u64(..) };
+        let asker = ProposerConfig {
+            address: me,
+            incarnation: life,
+            witnesses: witnesses.clone(),
+            max_lease: lease,
+            backoff_seed: fastrand::u64(..),
+        };
         Some(Out {
             name: settings.instance.name.as_str().into(),
             me,
@@ -125,9 +131,16 @@
             lease,
             forget: set.forget_ms.get(),
             witnesses,
-            limits: Limits { fronts: most, servers: none, copies: 0, cells: 0, free: None, unsure_ms },
-            clerk: is_witness.then(|| Clerk::new(now, me, life, lease, leaf.clerk)),
-            asker: Asker::new(asker),
+            limits: Limits {
+                fronts: most,
+                servers: none,
+                cells_per_title: 0,
+                ring_cells: 0,
+                free_link_kbit_s: None,
+                max_uncertain_ms: unsure_ms,
+            },
+            clerk: is_witness.then(|| Acceptor::new(now, me, life, lease, leaf.clerk)),
+            asker: Proposer::new(asker),
             asks: None,
             next_ask: now,
             wanted: false,
@@ -136,7 +149,7 @@
             owed: leaf.owed,
             listed: false,
             sure_at: None,
-            world: World::default(),
+            world: FleetView::default(),
             reason: "not asked yet".into(),
             register: None,
             file,
@@ -191,21 +204,21 @@
 
     /// The permit under which it may go now: looked at again at each use.
     pub(crate) fn may_leave(&self, now: Duration) -> Option<Term> {
-        self.held.filter(|h| h.granted.at(now) && h.version <= self.tried).map(|h| h.term)
+        self.held.filter(|h| h.granted.is_valid_at(now) && h.version <= self.tried).map(|h| h.term)
     }
 
     /// # Errors
     /// An invariant that does not hold.
-    pub(crate) fn check(&self) -> Result<(), Broken> {
+    pub(crate) fn check(&self) -> Result<(), InvariantViolation> {
         let is = |good, what| match good {
             true => Ok(()),
-            false => Err(Broken { machine: "front's permits", who: self.life, what }),
+            false => Err(InvariantViolation { component: "front's permits", id: self.life, invariant: what }),
         };
         is(self.good <= self.tried && self.tried <= self.version, "nothing kept that is not there yet")?;
         is(self.held.is_none() || (self.wanted && self.owed.contains(&self.life)), "what it holds it owes")?;
         is(self.owed.len() <= kept::MOST_OWED && self.answers.len() <= MOST_HELD, "bounds")?;
-        self.clerk.as_ref().map_or(Ok(()), Clerk::check)?;
-        self.asker.check()
+        self.clerk.as_ref().map_or(Ok(()), Acceptor::check_invariants)?;
+        self.asker.check_invariants()
     }
 
     /// Why the last ask came to nothing, in words.
@@ -213,7 +226,7 @@
         self.reason.clone()
     }
 
-    fn seen<'a>(world: &'a World, limits: &'a Limits) -> Seen<'a> {
-        Seen { world, limits }
+    fn seen<'a>(world: &'a FleetView, limits: &'a Limits) -> GrantContext<'a> {
+        GrantContext { fleet: world, limits }
     }
 }
--- a/crates/front/src/out/page.rs
+++ b/crates/front/src/out/page.rs
@@ -2,7 +2,7 @@
 
 use super::{world, Out};
 use cloverhollow_members::View;
-use cloverhollow_out::{Sight, Standing};
+use cloverhollow_out::{Availability, MemoryState};
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -19,26 +19,26 @@
                 "lease_ms": p.lease_ms, "holder": format!("{:016x}", p.holder)})
         });
         // Who is ready is asked only where this front wants to go.
-        let counts = |s| s != Standing::Serves && (s != Standing::Out || self.wanted);
-        let away = self.world.known.iter().filter(|(s, k)| **s != self.subject && counts(k.standing));
-        let sight = self.clerk.as_ref().map(|c| match c.sight(now) {
-            Sight::Sees => "sees",
-            Sight::Waited => "waited",
-            Sight::Blind => "blind",
+        let counts = |s| s != Availability::Serving && (s != Availability::OutOfService || self.wanted);
+        let away = self.world.members.iter().filter(|(s, k)| **s != self.subject && counts(k.availability));
+        let sight = self.clerk.as_ref().map(|c| match c.memory_state(now) {
+            MemoryState::Current => "sees",
+            MemoryState::WaitedOut => "waited",
+            MemoryState::Recovering => "blind",
         });
-        let unsure = (self.world.unsure_for != Duration::MAX).then_some(ms(self.world.unsure_for));
+        let unsure = (self.world.uncertain_for != Duration::MAX).then_some(ms(self.world.uncertain_for));
         json!({
-            "fleet": self.limits.fronts.fleet, "hall": self.limits.fronts.hall,
-            "wanted": self.wanted, "held": self.held.is_some_and(|h| h.granted.at(now)),
+            "fleet": self.limits.fronts.fleet, "hall": self.limits.fronts.zone,
+            "wanted": self.wanted, "held": self.held.is_some_and(|h| h.granted.is_valid_at(now)),
             "owed": self.owed.len(), "reason": self.reason, "witness": sight, "unsure_ms": unsure,
             "register": self.register.as_ref().map(|(at, r)| json!({
                 "term": r.term.0, "heard_ms": ms(now.saturating_sub(*at)), "permits": permits.collect::<Vec<_>>(),
             })),
             "counted_out": away.map(|(s, k)| json!({
                 "name": name(*s), "subject": world::digits(*s),
-                "why": match k.standing {
-                    Standing::Gone => "gone",
-                    Standing::Doubted => "doubted",
+                "why": match k.availability {
+                    Availability::Dead => "gone",
+                    Availability::Suspect => "doubted",
                     _ => "did not say that it takes viewers",
                 },
             })).collect::<Vec<_>>(),
--- a/crates/front/src/out/said.rs
+++ b/crates/front/src/out/said.rs
@@ -6,7 +6,7 @@
 
 use super::{world, Out, MOST_ASKED, QUESTION};
 use cloverhollow_members::{Sure, View};
-use cloverhollow_out::Word;
+use cloverhollow_out::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Said {
     /// The register's.
-    Out(Word),
+    Out(Message),
     /// Do you take viewers?
     Asks {
         /// Where the answer goes.
--- a/crates/front/src/out/turn.rs
+++ b/crates/front/src/out/turn.rs
@@ -2,19 +2,19 @@
 
 use super::said::Said;
 use super::{world, Asks, Held, Out, AGAIN, MOST_HELD};
-use cloverhollow_out::{Change, Outcome, Register, Word};
+use cloverhollow_out::{Change, Message, Outcome, Register};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 impl Out {
-    pub(super) fn word(&mut self, now: Duration, word: Word) {
+    pub(super) fn word(&mut self, now: Duration, word: Message) {
         match word {
-            Word::Prepare { .. } | Word::Accept { .. } => {
+            Message::Prepare { .. } | Message::Accept { .. } => {
                 let Some(clerk) = &mut self.clerk else { return };
-                let before = clerk.kept();
-                let answer = clerk.word(now, &word);
-                self.version += u64::from(clerk.kept() != before);
-                if let Some(register) = clerk.taken().cloned() {
+                let before = clerk.persisted_state();
+                let answer = clerk.handle_message(now, &word);
+                self.version += u64::from(clerk.persisted_state() != before);
+                if let Some(register) = clerk.accepted_value().cloned() {
                     self.heard(now, register);
                 }
                 // Guards against an answer that a witness forgets: it waits until what it rests on is written.
@@ -27,11 +27,11 @@
                 }
             }
             word => {
-                if let Word::Promise { taken: Some((_, register)), .. } = &word {
+                if let Message::Promise { accepted: Some((_, register)), .. } = &word {
                     self.heard(now, register.clone());
                 }
                 let seen = Out::seen(&self.world, &self.limits);
-                let words = self.asker.word(now, word, seen);
+                let words = self.asker.handle_message(now, word, seen);
                 self.say(words);
             }
         }
@@ -51,12 +51,12 @@
         if !self.asker.is_busy() && now >= self.next_ask {
             self.ask(now);
         }
-        let words = self.asker.due(now);
+        let words = self.asker.handle_timeout(now);
         self.say(words);
         self.question(now);
     }
 
-    fn say(&mut self, words: Vec<(SocketAddr, Word)>) {
+    fn say(&mut self, words: Vec<(SocketAddr, Message)>) {
         self.words.extend(words.into_iter().map(|(to, word)| (to, Said::Out(word))));
     }
 
@@ -64,7 +64,7 @@
     pub(crate) fn next_due(&self, now: Duration) -> Option<Duration> {
         let asks = self.next(now).map(|_| self.next_ask);
         let question = (self.wanted && !self.strangers.is_empty()).then_some(self.next_question);
-        self.asker.next_due().or(asks).into_iter().chain(question).min()
+        self.asker.next_timeout().or(asks).into_iter().chain(question).min()
     }
 
     /// Words to be sent, since the last call; those to this front itself are heard at once.
@@ -96,7 +96,7 @@
         // Its own is given back only where it is not to go, and so does not use it.
         let owed = self.owed.iter().filter(|l| if **l == self.life { !self.wanted } else { self.back });
         // One that lapsed while the process stood still is none.
-        let lacks = self.wanted && !self.held.is_some_and(|h| h.granted.at(now));
+        let lacks = self.wanted && !self.held.is_some_and(|h| h.granted.is_valid_at(now));
         owed.copied().next().map(Asks::GiveBack).or(lacks.then_some(Asks::Grant))
     }
 
@@ -108,7 +108,7 @@
             self.owe(self.life);
         }
         let change = match next {
-            Asks::GiveBack(_) => Change::GiveBack { subject: self.subject },
+            Asks::GiveBack(_) => Change::ReturnPermit { subject: self.subject },
             Asks::Grant => Change::Grant {
                 subject: self.subject,
                 place: self.place,
@@ -116,9 +116,9 @@
                 release: None,
             },
         };
-        self.asker.give_for(if let Asks::GiveBack(life) = next { Some(life) } else { None });
+        self.asker.return_permits_of(if let Asks::GiveBack(life) = next { Some(life) } else { None });
         self.next_ask = now + AGAIN + AGAIN.mul_f64(fastrand::f64());
-        if self.asker.ask(now, change) {
+        if self.asker.submit(now, change) {
             self.asks = Some(next);
         }
     }
@@ -127,7 +127,7 @@
         let Some(asked) = self.asks.take() else { return };
         let subject = world::digits(self.subject);
         match (asked, outcome) {
-            (Asks::GiveBack(life), Outcome::Done(register, _)) => {
+            (Asks::GiveBack(life), Outcome::Committed(register, _)) => {
                 self.owed.retain(|l| *l != life);
                 self.version += 1;
                 tracing::info!(
@@ -139,7 +139,7 @@
                 );
                 self.heard(now, register);
             }
-            (Asks::Grant, Outcome::Done(register, granted)) => {
+            (Asks::Grant, Outcome::Committed(register, granted)) => {
                 let term = register.term;
                 self.heard(now, register);
                 // Where it is not wanted any more it is given back.
@@ -155,7 +155,7 @@
                 }
             }
             (_, Outcome::Denied(why)) => self.reason = why.to_string(),
-            (_, Outcome::NotHeard) => self.reason = "no majority of the witnesses answered".into(),
+            (_, Outcome::NoQuorum) => self.reason = "no majority of the witnesses answered".into(),
             (_, Outcome::Unknown) => self.reason = "no majority of the witnesses took it in time".into(),
         }
         self.next_ask = now + AGAIN + AGAIN.mul_f64(fastrand::f64());
--- a/crates/front/src/out/world.rs
+++ b/crates/front/src/out/world.rs
@@ -14,7 +14,7 @@
 //! - A front that sees no majority of the witnesses as there is on the small side of a cut: its view is unsure.
 
 use cloverhollow_members::{Sure, View};
-use cloverhollow_out::{Known, Place, Standing, Subject, World};
+use cloverhollow_out::{Availability, FleetView, MemberStatus, Place, Subject};
 use cloverhollow_settings::title_id;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 /// Where it stands.
 pub(super) fn place(hall: &str) -> Place {
     let digest = title_id(hall);
-    Place { hall: (digest ^ digest >> 32) as u32, rack: None, cell: None }
+    Place { zone: (digest ^ digest >> 32) as u32, rack: None, cell: None }
 }
 
 /// A subject as operators read it in log and page.
@@ -57,7 +57,7 @@
     ready: &BTreeMap<SocketAddr, u64>,
     forget: Duration,
     unsure_for: Duration,
-) -> World {
+) -> FleetView {
     let mut youngest = BTreeMap::new();
     for seen in view.members.values() {
         let of = youngest.entry(subject(&seen.who.name)).or_insert(seen);
@@ -67,13 +67,13 @@
     }
     let counts = |s: &&cloverhollow_members::Seen| s.sure != Sure::Gone || now < s.since + forget;
     let all = youngest.into_iter().filter(|(_, s)| counts(s));
-    let known = |s: &cloverhollow_members::Seen| Known {
+    let known = |s: &cloverhollow_members::Seen| MemberStatus {
         place: place(&s.who.hall),
-        standing: match s.sure {
-            Sure::There if !is_ready(ready, s) => Standing::Out,
-            sure => Standing::from(sure),
+        availability: match s.sure {
+            Sure::There if !is_ready(ready, s) => Availability::OutOfService,
+            sure => Availability::from(sure),
         },
-        link: 0,
+        link_kbit_s: 0,
     };
-    World { known: all.map(|(subject, s)| (subject, known(s))).collect(), unsure_for }
+    FleetView { members: all.map(|(subject, s)| (subject, known(s))).collect(), uncertain_for: unsure_for }
 }
--- a/crates/out/src/clerk.rs
+++ b/crates/out/src/acceptor.rs
@@ -11,8 +11,8 @@
 //!   was built on the answers of a majority that saw, so it is no older than anything that it took before it
 //!   forgot.
 
+use crate::message::Message;
 use crate::types::*;
-use crate::words::Word;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,23 +20,25 @@
 
 /// What a disk keeps of a witness: written before its answer goes out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistedState {
     /// The highest try that it promised.
     pub promised: Ballot,
     /// What it took last.
-    pub taken: Option<(Ballot, Register)>,
+    #[serde(rename = "taken")]
+    pub accepted: Option<(Ballot, Register)>,
     /// It was not one that had forgotten.
-    pub sees: bool,
+    #[serde(rename = "sees")]
+    pub is_current: bool,
 }
 
 /// How long one that forgot is blind, where no lease is longer than that.
-pub fn blind_for(longest: Duration) -> Duration {
-    hold(longest) + ROUND * 4
+pub fn recovery_time(longest: Duration) -> Duration {
+    hold_time(longest) + ROUND_TIMEOUT * 4
 }
 
 /// A witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Clerk {
+pub struct Acceptor {
     me: SocketAddr,
     life: u64,
     longest: Duration,
@@ -46,77 +48,90 @@
     /// When it first promised that, in this life.
     promised_at: Option<Duration>,
     taken: Option<(Ballot, Register)>,
-    since: BTreeMap<Id, Duration>,
+    since: BTreeMap<LeaseId, Duration>,
 }
 
-impl Clerk {
+impl Acceptor {
     /// One that starts now. `me`: as the settings name it; `life`: drawn at the start; `longest`: no lease is
     /// longer, at all witnesses alike; `kept`: what its disk kept, if anything.
-    pub fn new(now: Duration, me: SocketAddr, life: u64, longest: Duration, kept: Option<Kept>) -> Clerk {
-        let Kept { promised, taken, sees } = kept.unwrap_or_default();
-        let waited_at = now + blind_for(longest);
+    pub fn new(
+        now: Duration,
+        me: SocketAddr,
+        life: u64,
+        longest: Duration,
+        kept: Option<PersistedState>,
+    ) -> Acceptor {
+        let PersistedState { promised, accepted: taken, is_current: sees } = kept.unwrap_or_default();
+        let waited_at = now + recovery_time(longest);
         let (since, promised_at) = (BTreeMap::new(), None);
-        let mut clerk = Clerk { me, life, longest, waited_at, sees, promised, promised_at, taken, since };
+        let mut clerk = Acceptor { me, life, longest, waited_at, sees, promised, promised_at, taken, since };
         clerk.count_from(now);
         clerk
     }
 
     /// What its word counts for.
-    pub fn sight(&self, now: Duration) -> Sight {
+    pub fn memory_state(&self, now: Duration) -> MemoryState {
         match self.sees {
-            true => Sight::Sees,
-            false if now >= self.waited_at => Sight::Waited,
-            false => Sight::Blind,
+            true => MemoryState::Current,
+            false if now >= self.waited_at => MemoryState::WaitedOut,
+            false => MemoryState::Recovering,
         }
     }
 
     /// A word came: the answer and where it goes.
-    pub fn word(&mut self, now: Duration, word: &Word) -> Option<(SocketAddr, Word)> {
+    pub fn handle_message(&mut self, now: Duration, word: &Message) -> Option<(SocketAddr, Message)> {
         match word {
-            Word::Prepare { ballot, reply } => Some((*reply, self.prepare(now, *ballot))),
-            Word::Accept { ballot, reply, life, value } => {
+            Message::Prepare { ballot, reply_to: reply } => Some((*reply, self.prepare(now, *ballot))),
+            Message::Accept { ballot, reply_to: reply, incarnation: life, value } => {
                 Some((*reply, self.accept(now, *ballot, *life, value)?))
             }
             _ => None,
         }
     }
 
-    fn prepare(&mut self, now: Duration, ballot: Ballot) -> Word {
+    fn prepare(&mut self, now: Duration, ballot: Ballot) -> Message {
         let witness = self.me;
         if ballot < self.promised {
-            return Word::Outbid { ballot, witness, promised: self.promised };
+            return Message::Rejected { ballot, witness, promised: self.promised };
         }
         if ballot > self.promised || self.promised_at.is_none() {
             (self.promised, self.promised_at) = (ballot, Some(now));
         }
-        let (lapsed, sight) = (self.lapsed(now), self.sight(now));
-        Word::Promise { ballot, witness, life: self.life, taken: self.taken.clone(), lapsed, sight }
+        let (expired_leases, memory) = (self.lapsed(now), self.memory_state(now));
+        Message::Promise {
+            ballot,
+            witness,
+            incarnation: self.life,
+            accepted: self.taken.clone(),
+            expired_leases,
+            memory,
+        }
     }
 
-    fn accept(&mut self, now: Duration, ballot: Ballot, life: u64, value: &Register) -> Option<Word> {
+    fn accept(&mut self, now: Duration, ballot: Ballot, life: u64, value: &Register) -> Option<Message> {
         let witness = self.me;
         if ballot < self.promised {
-            return Some(Word::Outbid { ballot, witness, promised: self.promised });
+            return Some(Message::Rejected { ballot, witness, promised: self.promised });
         }
         if self.taken.as_ref().is_none_or(|t| t.0 < ballot) {
             // Guards against a value that comes so late that what its try rests on may have been forgotten.
             let promised = self.promised_at.filter(|_| ballot == self.promised && life == self.life)?;
-            let in_time = now <= promised + ROUND;
-            if !in_time || value.check().is_err() || value.longest() > self.longest {
+            let in_time = now <= promised + ROUND_TIMEOUT;
+            if !in_time || value.check_invariants().is_err() || value.longest_lease() > self.longest {
                 return None;
             }
             self.sees |= promised >= self.waited_at;
             self.taken = Some((ballot, value.clone()));
             self.count_from(now);
         }
-        Some(Word::Accepted { ballot, witness, sight: self.sight(now) })
+        Some(Message::Accepted { ballot, witness, memory: self.memory_state(now) })
     }
 
-    fn leases(&self) -> impl Iterator<Item = (usize, Id, Duration)> + '_ {
+    fn leases(&self) -> impl Iterator<Item = (usize, LeaseId, Duration)> + '_ {
         let value = self.taken.iter().map(|t| &t.1);
         let permits = value.clone().flat_map(|v| v.permits.iter().enumerate());
-        let release = value.filter_map(|v| v.release).map(|r| (MOST_PERMITS, r.id(), r.hold()));
-        permits.map(|(n, p)| (n, p.id(), p.hold())).chain(release)
+        let release = value.filter_map(|v| v.release).map(|r| (MAX_PERMITS, r.lease_id(), r.hold_time()));
+        permits.map(|(n, p)| (n, p.lease_id(), p.hold_time())).chain(release)
     }
 
     /// Counts each lease's age from when this very one was first taken.
@@ -127,33 +142,33 @@
     }
 
     fn lapsed(&self, now: Duration) -> u32 {
-        let over = |(_, id, hold): &(usize, Id, Duration)| {
+        let over = |(_, id, hold): &(usize, LeaseId, Duration)| {
             self.since.get(id).is_some_and(|since| now.saturating_sub(*since) > *hold)
         };
         self.leases().filter(over).fold(0, |bits, (n, _, _)| bits | 1 << n)
     }
 
     /// Where it is, as the settings name it.
-    pub fn me(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.me
     }
 
     /// What a disk keeps.
-    pub fn kept(&self) -> Kept {
-        Kept { promised: self.promised, taken: self.taken.clone(), sees: self.sees }
+    pub fn persisted_state(&self) -> PersistedState {
+        PersistedState { promised: self.promised, accepted: self.taken.clone(), is_current: self.sees }
     }
 
     /// What it took last.
-    pub fn taken(&self) -> Option<&Register> {
+    pub fn accepted_value(&self) -> Option<&Register> {
         self.taken.as_ref().map(|t| &t.1)
     }
 
     /// # Errors
     /// An invariant that does not hold.
-    pub fn check(&self) -> Result<(), Broken> {
-        let is = |good, what| holds(good, "clerk", self.me.port().into(), what);
+    pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
+        let is = |good, what| ensure(good, "clerk", self.me.port().into(), what);
         is(self.taken.as_ref().is_none_or(|t| t.0 <= self.promised), "nothing taken above what it promised")?;
         is(self.leases().count() == self.since.len(), "an age for each lease, and no more")?;
-        self.taken().map_or(Ok(()), Register::check)
+        self.accepted_value().map_or(Ok(()), Register::check_invariants)
     }
 }
--- a/crates/out/src/halts.rs
+++ b/crates/out/src/halt_detector.rs
@@ -13,8 +13,8 @@
 //! and of one share at both sides if nothing is changed; that share may differ from block to block.
 
 use crate::release::Plan;
-use crate::report::{Out, Report};
-use crate::types::Cause;
+use crate::report::{FrontReport, ServiceState};
+use crate::types::HaltCause;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -30,34 +30,35 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Tally {
     /// Asked for.
-    pub asked: u32,
+    #[serde(rename = "asked")]
+    pub requested: u32,
     /// Served, of those.
     pub served: u32,
 }
 
 impl Tally {
     /// Both together.
-    pub fn and(self, other: Tally) -> Tally {
+    pub fn combined_with(self, other: Tally) -> Tally {
         Tally {
-            asked: self.asked.saturating_add(other.asked),
+            requested: self.requested.saturating_add(other.requested),
             served: self.served.saturating_add(other.served),
         }
     }
 
     /// What came since `before`, of a count that begins anew with each life. `None`: it did.
-    pub fn since(self, before: Tally) -> Option<Tally> {
-        let asked = self.asked.checked_sub(before.asked)?;
-        Some(Tally { asked, served: self.served.checked_sub(before.served)?.min(asked) })
+    pub fn delta_since(self, before: Tally) -> Option<Tally> {
+        let asked = self.requested.checked_sub(before.requested)?;
+        Some(Tally { requested: asked, served: self.served.checked_sub(before.served)?.min(asked) })
     }
 
     fn sane(self) -> Tally {
-        Tally { served: self.served.min(self.asked), ..self }
+        Tally { served: self.served.min(self.requested), ..self }
     }
 }
 
 /// Paid worth of a block: changed fronts against unchanged ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Paid {
+pub struct PaidBlock {
     /// At changed fronts.
     pub changed: Tally,
     /// At unchanged ones.
@@ -66,7 +67,7 @@
 
 /// The test.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Worth {
+pub struct ServedShareTest {
     error_ppm: u32,
     /// For each difference, the logarithm of its product.
     logs: [i64; DIFFERENCES.len()],
@@ -75,24 +76,24 @@
     halts: bool,
 }
 
-impl Worth {
+impl ServedShareTest {
     /// One that has seen nothing. `error_ppm`: how often it may halt where nothing is changed, of a million.
-    pub fn new(error_ppm: u32) -> Worth {
-        Worth { error_ppm, logs: [0; DIFFERENCES.len()], past: Tally::default(), halts: false }
+    pub fn new(error_ppm: u32) -> ServedShareTest {
+        ServedShareTest { error_ppm, logs: [0; DIFFERENCES.len()], past: Tally::default(), halts: false }
     }
 
     /// A block more. Whether there is less at changed fronts, by more than chance.
-    pub fn block(&mut self, paid: Paid) -> bool {
+    pub fn add_block(&mut self, paid: PaidBlock) -> bool {
         let (c, u) = (paid.changed.sane(), paid.unchanged.sane());
-        if c.asked > 0 && u.asked > 0 {
-            let past = (f64::from(self.past.served) + 4.5) / (f64::from(self.past.asked) + 5.0);
+        if c.requested > 0 && u.requested > 0 {
+            let past = (f64::from(self.past.served) + 4.5) / (f64::from(self.past.requested) + 5.0);
             let share = past.clamp(2.0 * EDGE, 1.0 - EDGE);
             for (log, difference) in self.logs.iter_mut().zip(DIFFERENCES) {
                 let guess = (share - f64::from(difference) / 1e3).max(EDGE);
-                let (nc, nu) = (f64::from(c.asked), f64::from(u.asked));
+                let (nc, nu) = (f64::from(c.requested), f64::from(u.requested));
                 let middle = (nc * guess + nu * share) / (nc + nu);
                 let one = |t: Tally, guess: f64| {
-                    let (good, bad) = (f64::from(t.served), f64::from(t.asked - t.served));
+                    let (good, bad) = (f64::from(t.served), f64::from(t.requested - t.served));
                     good * (guess / middle).ln() + bad * ((1.0 - guess) / (1.0 - middle)).ln()
                 };
                 let by = (one(c, guess) + one(u, share)) * UNIT;
@@ -100,7 +101,7 @@
             }
             self.halts |= self.log_evidence() >= (1e6 / f64::from(self.error_ppm.max(1))).ln();
         }
-        self.past = self.past.and(u);
+        self.past = self.past.combined_with(u);
         self.halts
     }
 
@@ -115,54 +116,63 @@
 
 /// All causes together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Halts {
-    worth: Worth,
+pub struct HaltDetector {
+    worth: ServedShareTest,
     /// What each front had counted, and what it ran then.
     counted: BTreeMap<u64, (u64, Tally)>,
 }
 
-impl Halts {
+impl HaltDetector {
     /// One that has seen nothing. `error_ppm`: as for [`Worth::new`].
-    pub fn new(error_ppm: u32) -> Halts {
-        Halts { worth: Worth::new(error_ppm), counted: BTreeMap::new() }
+    pub fn new(error_ppm: u32) -> HaltDetector {
+        HaltDetector { worth: ServedShareTest::new(error_ppm), counted: BTreeMap::new() }
     }
 
     /// Why the release must not go on, if it must not. `silent`: nobody has heard of those of late.
-    pub fn cause(
+    pub fn halt_cause(
         &mut self,
         plan: &Plan,
-        reports: &BTreeMap<u64, Report>,
+        reports: &BTreeMap<u64, FrontReport>,
         silent: &BTreeSet<u64>,
         unsure_for: Duration,
-    ) -> Option<Cause> {
-        let target = plan.what.target();
+    ) -> Option<HaltCause> {
+        let target = plan.target.version_id();
         let worse = self.paid(target, reports);
-        let away = reports.iter().filter(|(n, r)| silent.contains(n) || r.out != Out::Serves).count();
-        let waits = Duration::from_millis(plan.permits_ms.into());
-        let some = |is: &dyn Fn(&Report) -> bool| reports.values().any(is);
+        let away = reports
+            .iter()
+            .filter(|(n, r)| silent.contains(n) || r.service_state != ServiceState::Serving)
+            .count();
+        let waits = Duration::from_millis(plan.max_permit_wait_ms.into());
+        let some = |is: &dyn Fn(&FrontReport) -> bool| reports.values().any(is);
         let causes = [
-            (some(&|r| r.rule && r.runs == target), Cause::Rule),
-            (some(&|r| r.failed > 0 && r.failed >= plan.restarts), Cause::Restarts),
-            (some(&|r| r.bad_text), Cause::Staging),
-            (away > usize::from(plan.most_out), Cause::Out),
-            (unsure_for > Duration::from_millis(plan.limits.unsure_ms.into()), Cause::View),
-            (some(&|r| r.waits.is_some_and(|w| w > waits)), Cause::Permits),
-            (worse, Cause::Worth),
+            (some(&|r| r.rule_violated && r.running == target), HaltCause::RuleViolation),
+            (
+                some(&|r| r.failed_restarts > 0 && r.failed_restarts >= plan.max_failed_restarts),
+                HaltCause::FailedRestarts,
+            ),
+            (some(&|r| r.staging_failed), HaltCause::Staging),
+            (away > usize::from(plan.max_out), HaltCause::TooManyOut),
+            (
+                unsure_for > Duration::from_millis(plan.limits.max_uncertain_ms.into()),
+                HaltCause::UncertainView,
+            ),
+            (some(&|r| r.permit_wait.is_some_and(|w| w > waits)), HaltCause::PermitWait),
+            (worse, HaltCause::ServedShare),
         ];
         causes.into_iter().find(|(is, _)| *is).map(|(_, cause)| cause)
     }
 
     /// What came since the last look, of fronts that ran the same all the while.
-    fn paid(&mut self, target: u64, reports: &BTreeMap<u64, Report>) -> bool {
-        let mut block = Paid::default();
+    fn paid(&mut self, target: u64, reports: &BTreeMap<u64, FrontReport>) -> bool {
+        let mut block = PaidBlock::default();
         for (name, r) in reports {
-            let before = self.counted.insert(*name, (r.runs, r.paid));
-            let Some((_, before)) = before.filter(|(runs, _)| *runs == r.runs) else { continue };
-            let Some(new) = r.paid.since(before) else { continue };
-            let side = if r.runs == target { &mut block.changed } else { &mut block.unchanged };
-            *side = side.and(new);
+            let before = self.counted.insert(*name, (r.running, r.paid));
+            let Some((_, before)) = before.filter(|(runs, _)| *runs == r.running) else { continue };
+            let Some(new) = r.paid.delta_since(before) else { continue };
+            let side = if r.running == target { &mut block.changed } else { &mut block.unchanged };
+            *side = side.combined_with(new);
         }
         self.counted.retain(|name, _| reports.contains_key(name));
-        self.worth.block(block)
+        self.worth.add_block(block)
     }
 }
--- a/crates/out/src/lib.rs
+++ b/crates/out/src/lib.rs
@@ -7,31 +7,33 @@
 //!
 //! Times are [`std::time::Duration`]s on the caller's one forward-going clock, which goes on over a suspend.
 
-mod answers;
-mod asker;
+mod acceptor;
 mod change;
-mod clerk;
 mod driver;
-mod going;
-mod halts;
-mod job;
+mod halt_detector;
 mod limits;
+mod message;
+mod proposal;
+mod proposer;
 mod register;
 mod release;
 mod report;
-mod staged;
+mod responses;
+mod rollout;
+mod staged_config;
 mod types;
-mod words;
 
-pub use asker::{Asker, AskerSettings};
-pub use change::{Applied, Change, Denied};
-pub use clerk::{blind_for, Clerk, Kept};
+pub use acceptor::{recovery_time, Acceptor, PersistedState};
+pub use change::{Applied, Change, DenialReason};
 pub use driver::Driver;
-pub use halts::{Halts, Paid, Tally, Worth};
-pub use job::{Granted, Outcome, TRIES};
-pub use limits::{may_go, Known, Limits, Most, Seen, Standing, World};
-pub use release::{next, Event, Plan, Wave, What, MOST_WAVES};
-pub use report::{Do, Out, Report, MOST_REPORTS};
-pub use staged::{Act, Generation, Order, Refusal, Staged, MOST_GENERATIONS};
+pub use halt_detector::{HaltDetector, PaidBlock, ServedShareTest, Tally};
+pub use limits::{
+    check_limits, Availability, FleetView, GrantContext, Limits, MaxOutOfService, MemberStatus,
+};
+pub use message::Message;
+pub use proposal::{GrantedLease, Outcome, MAX_ATTEMPTS};
+pub use proposer::{Proposer, ProposerConfig};
+pub use release::{next_stage, Plan, ReleaseEvent, ReleaseTarget, Wave, MAX_WAVES};
+pub use report::{DriverAction, FrontReport, ServiceState, MAX_REPORTS};
+pub use staged_config::{FencedOrder, Generation, Order, OrderError, StagedConfig, MAX_GENERATIONS};
 pub use types::*;
-pub use words::Word;
--- a/crates/out/src/limits.rs
+++ b/crates/out/src/limits.rs
@@ -1,6 +1,6 @@
 //! Who may go out, given who is out already.
 
-use crate::change::Denied;
+use crate::change::DenialReason;
 use crate::types::{Place, Register, Subject};
 use cloverhollow_members::Sure;
 use serde::{Deserialize, Serialize};
@@ -9,11 +9,12 @@
 
 /// How many of one kind may be out at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Most {
+pub struct MaxOutOfService {
     /// Of the fleet.
     pub fleet: u16,
     /// Of a hall.
-    pub hall: u16,
+    #[serde(rename = "hall")]
+    pub zone: u16,
     /// Of a rack.
     pub rack: u16,
 }
@@ -22,68 +23,76 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Limits {
     /// Of fronts.
-    pub fronts: Most,
+    pub fronts: MaxOutOfService,
     /// Of video servers.
-    pub servers: Most,
+    pub servers: MaxOutOfService,
     /// A title lies on so many cells in a row; 0: it is not known on which.
-    pub copies: u32,
+    #[serde(rename = "copies")]
+    pub cells_per_title: u32,
     /// Cells in all, in a ring.
-    pub cells: u32,
+    #[serde(rename = "cells")]
+    pub ring_cells: u32,
     /// What the forecast leaves free of each hall's link, kbit/s; a hall that is not there has nothing free.
     /// `None`: links are not looked at.
-    pub free: Option<BTreeMap<u32, u64>>,
+    #[serde(rename = "free")]
+    pub free_link_kbit_s: Option<BTreeMap<u32, u64>>,
     /// The view must have been sure within so long, ms.
-    pub unsure_ms: u32,
+    #[serde(rename = "unsure_ms")]
+    pub max_uncertain_ms: u32,
 }
 
 /// Whether somebody serves, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Availability {
     /// It does.
-    Serves,
+    #[serde(rename = "Serves")]
+    Serving,
     /// It drains, is stopped, starts or warms.
-    Out,
+    #[serde(rename = "Out")]
+    OutOfService,
     /// Nobody knows.
-    Doubted,
+    #[serde(rename = "Doubted")]
+    Suspect,
     /// It is taken for dead.
-    Gone,
+    #[serde(rename = "Gone")]
+    Dead,
 }
 
-impl From<Sure> for Standing {
-    fn from(sure: Sure) -> Standing {
+impl From<Sure> for Availability {
+    fn from(sure: Sure) -> Availability {
         match sure {
-            Sure::There => Standing::Serves,
-            Sure::Doubted => Standing::Doubted,
-            Sure::Gone => Standing::Gone,
+            Sure::There => Availability::Serving,
+            Sure::Doubted => Availability::Suspect,
+            Sure::Gone => Availability::Dead,
         }
     }
 }
 
 /// One front or server, as the view or the list has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Known {
+pub struct MemberStatus {
     /// Where.
     pub place: Place,
     /// Whether it serves.
-    pub standing: Standing,
+    pub availability: Availability,
     /// A server's part of its hall's link, kbit/s.
-    pub link: u64,
+    pub link_kbit_s: u64,
 }
 
 /// What an asker knows of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct FleetView {
     /// All fronts and servers.
-    pub known: BTreeMap<Subject, Known>,
+    pub members: BTreeMap<Subject, MemberStatus>,
     /// How long ago the view was last sure.
-    pub unsure_for: Duration,
+    pub uncertain_for: Duration,
 }
 
 /// What a change is judged by.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen<'a> {
+pub struct GrantContext<'a> {
     /// The fleet.
-    pub world: &'a World,
+    pub fleet: &'a FleetView,
     /// The limits.
     pub limits: &'a Limits,
 }
@@ -97,18 +106,18 @@
 ///
 /// # Errors
 /// Why not.
-pub fn may_go(
+pub fn check_limits(
     register: &Register,
-    world: &World,
+    world: &FleetView,
     limits: &Limits,
     subject: Subject,
     place: Place,
-) -> Result<(), Denied> {
-    if world.unsure_for > Duration::from_millis(limits.unsure_ms.into()) {
-        return Err(Denied::View);
+) -> Result<(), DenialReason> {
+    if world.uncertain_for > Duration::from_millis(limits.max_uncertain_ms.into()) {
+        return Err(DenialReason::UncertainView);
     }
     let by_permit = register.permits.iter().map(|p| (p.subject, p.place));
-    let away = world.known.iter().filter(|(_, k)| k.standing != Standing::Serves);
+    let away = world.members.iter().filter(|(_, k)| k.availability != Availability::Serving);
     let by_world = away.map(|(s, k)| (*s, k.place));
     let out: BTreeMap<Subject, Place> =
         by_world.chain(by_permit).filter(|(s, _)| *s != subject && same_kind(*s, subject)).collect();
@@ -118,20 +127,20 @@
     };
     let of = |same: &dyn Fn(&Place) -> bool| out.values().filter(|p| same(p)).count();
     if out.len() >= most.fleet.into() {
-        return Err(Denied::Fleet);
+        return Err(DenialReason::FleetLimit);
     }
-    if of(&|p| p.hall == place.hall) >= most.hall.into() {
-        return Err(Denied::Hall);
+    if of(&|p| p.zone == place.zone) >= most.zone.into() {
+        return Err(DenialReason::ZoneLimit);
     }
-    if place.rack.is_some() && of(&|p| p.hall == place.hall && p.rack == place.rack) >= most.rack.into() {
-        return Err(Denied::Rack);
+    if place.rack.is_some() && of(&|p| p.zone == place.zone && p.rack == place.rack) >= most.rack.into() {
+        return Err(DenialReason::RackLimit);
     }
-    if let (Subject::Server(_), Some(free)) = (subject, &limits.free) {
-        let link = |s: &Subject| world.known.get(s).map_or(0, |k| k.link);
-        let gone = out.iter().filter(|(_, p)| p.hall == place.hall).map(|(s, _)| link(s));
+    if let (Subject::Server(_), Some(free)) = (subject, &limits.free_link_kbit_s) {
+        let link = |s: &Subject| world.members.get(s).map_or(0, |k| k.link_kbit_s);
+        let gone = out.iter().filter(|(_, p)| p.zone == place.zone).map(|(s, _)| link(s));
         let all = gone.fold(link(&subject), u64::saturating_add);
-        if all > free.get(&place.hall).copied().unwrap_or(0) {
-            return Err(Denied::Link);
+        if all > free.get(&place.zone).copied().unwrap_or(0) {
+            return Err(DenialReason::LinkCapacity);
         }
     }
     last_holder(world, limits, &out, subject, place)
@@ -139,18 +148,18 @@
 
 /// Each run of cells that a title may lie on needs another server that serves.
 fn last_holder(
-    world: &World,
+    world: &FleetView,
     limits: &Limits,
     out: &BTreeMap<Subject, Place>,
     subject: Subject,
     place: Place,
-) -> Result<(), Denied> {
+) -> Result<(), DenialReason> {
     let (Subject::Server(_), Some(cell)) = (subject, place.cell) else { return Ok(()) };
-    if limits.copies == 0 || limits.cells == 0 {
+    if limits.cells_per_title == 0 || limits.ring_cells == 0 {
         return Ok(());
     }
-    let (cells, copies) = (limits.cells, limits.copies.min(limits.cells));
-    let others = world.known.iter().filter(|(s, _)| **s != subject && !out.contains_key(s));
+    let (cells, copies) = (limits.ring_cells, limits.cells_per_title.min(limits.ring_cells));
+    let others = world.members.iter().filter(|(s, _)| **s != subject && !out.contains_key(s));
     let serve: BTreeSet<u32> = others.filter_map(|(_, k)| k.place.cell).map(|c| c % cells).collect();
     // A run that holds the cell begins at it or less than `copies` before; only cells that serve are looked
     // at, so a run without any is a gap of `copies` between two of them, this cell in it.
@@ -160,6 +169,6 @@
     match (behind, ahead) {
         (Some(0), _) => Ok(()),
         (Some(behind), Some(ahead)) if behind + ahead - 1 < copies => Ok(()),
-        _ => Err(Denied::Copies),
+        _ => Err(DenialReason::LastCopy),
     }
 }
--- a/crates/out/src/job.rs
+++ b/crates/out/src/proposal.rs
@@ -1,13 +1,13 @@
 //! One change on its way, and how it ends.
 
-use crate::change::{Change, Denied};
+use crate::change::{Change, DenialReason};
 use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Tries for one change.
-pub const TRIES: u32 = 8;
+pub const MAX_ATTEMPTS: u32 = 8;
 /// What was not answered is said again after so long.
 pub(crate) const AGAIN: Duration = Duration::from_millis(400);
 /// One that was outbid waits so long at the least, and up to so many times that.
@@ -16,17 +16,17 @@
 
 /// A lease that was had: a permit's or the release's. To be asked at the time of use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Granted {
+pub struct GrantedLease {
     /// Which.
-    pub id: Id,
+    pub lease_id: LeaseId,
     /// It holds until then.
-    pub until: Duration,
+    pub expires_at: Duration,
 }
 
-impl Granted {
+impl GrantedLease {
     /// Whether it holds at that time: whoever stood still holds nothing.
-    pub fn at(&self, now: Duration) -> bool {
-        now < self.until
+    pub fn is_valid_at(&self, now: Duration) -> bool {
+        now < self.expires_at
     }
 }
 
@@ -34,11 +34,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// It is made: the value with it, and the lease where it asked for one.
-    Done(Register, Option<Granted>),
+    Committed(Register, Option<GrantedLease>),
     /// It was not made.
-    Denied(Denied),
+    Denied(DenialReason),
     /// No majority answered; nothing was changed.
-    NotHeard,
+    NoQuorum,
     /// It may have been made, or may yet be. Ask again: a change made twice is made once.
     Unknown,
 }
@@ -48,7 +48,7 @@
     pub(crate) life: u64,
     pub(crate) taken: Option<(Ballot, Register)>,
     pub(crate) lapsed: u32,
-    pub(crate) sight: Sight,
+    pub(crate) sight: MemoryState,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -79,17 +79,20 @@
     }
 
     /// The lease that it has, now that a majority took that value: from before its first question went out.
-    pub(crate) fn granted(&self, holder: u64, ask: u32, value: &Register) -> Option<Granted> {
-        let lease = |id, ms: u32| Granted { id, until: self.begun + Duration::from_millis(ms.into()) };
+    pub(crate) fn granted(&self, holder: u64, ask: u32, value: &Register) -> Option<GrantedLease> {
+        let lease = |id, ms: u32| GrantedLease {
+            lease_id: id,
+            expires_at: self.begun + Duration::from_millis(ms.into()),
+        };
         match self.change {
             Change::Grant { subject, lease_ms, .. } => {
-                Some(lease(Id { subject: Some(subject), holder, ask }, lease_ms))
+                Some(lease(LeaseId { subject: Some(subject), holder, request_id: ask }, lease_ms))
             }
-            Change::Start { .. } | Change::Drive { .. } | Change::Step { .. } => {
-                let own = Id { subject: None, holder, ask };
-                value.release.filter(|r| r.id() == own).map(|r| lease(own, r.lease_ms))
+            Change::StartRelease { .. } | Change::DriveRelease { .. } | Change::AdvanceRelease { .. } => {
+                let own = LeaseId { subject: None, holder, request_id: ask };
+                value.release.filter(|r| r.lease_id() == own).map(|r| lease(own, r.lease_ms))
             }
-            Change::GiveBack { .. } | Change::Halt { .. } => None,
+            Change::ReturnPermit { .. } | Change::HaltRelease { .. } => None,
         }
     }
 
@@ -102,12 +105,12 @@
 
 impl Promised {
     /// Leases that this witness has had, by these very ids, for longer than their hold.
-    pub(crate) fn over(&self) -> Vec<Id> {
+    pub(crate) fn over(&self) -> Vec<LeaseId> {
         let Some((_, value)) = &self.taken else { return Vec::new() };
         let bit = |n: usize| self.lapsed & 1 << n != 0;
-        let permits = value.permits.iter().take(MOST_PERMITS).enumerate();
-        let over = permits.filter(|(n, _)| bit(*n)).map(|(_, p)| p.id());
-        over.chain(value.release.filter(|_| bit(MOST_PERMITS)).map(|r| r.id())).collect()
+        let permits = value.permits.iter().take(MAX_PERMITS).enumerate();
+        let over = permits.filter(|(n, _)| bit(*n)).map(|(_, p)| p.lease_id());
+        over.chain(value.release.filter(|_| bit(MAX_PERMITS)).map(|r| r.lease_id())).collect()
     }
 }
 
--- a/crates/out/src/asker.rs
+++ b/crates/out/src/proposer.rs
@@ -1,33 +1,33 @@
 //! A front's side: one change at a time, by a majority of the witnesses.
 
 use crate::change::Change;
-use crate::job::*;
-use crate::limits::Seen;
+use crate::limits::GrantContext;
+use crate::message::Message;
+use crate::proposal::*;
 use crate::types::*;
-use crate::words::Word;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// What an asker is told at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct AskerSettings {
+pub struct ProposerConfig {
     /// Where answers go.
-    pub me: SocketAddr,
+    pub address: SocketAddr,
     /// Drawn at the process's start.
-    pub life: u64,
+    pub incarnation: u64,
     /// All witnesses, the same at all fronts.
     pub witnesses: Vec<SocketAddr>,
     /// No lease is longer, at all witnesses alike.
-    pub longest: Duration,
+    pub max_lease: Duration,
     /// Of waits.
-    pub seed: u64,
+    pub backoff_seed: u64,
 }
 
 /// A front's side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Asker {
-    pub(crate) set: AskerSettings,
+pub struct Proposer {
+    pub(crate) set: ProposerConfig,
     pub(crate) ballot: Ballot,
     pub(crate) ask: u32,
     /// The highest term that it heard of: none that it gives is lower.
@@ -40,32 +40,32 @@
     pub(crate) gives: u64,
 }
 
-pub(crate) type Words = Vec<(SocketAddr, Word)>;
+pub(crate) type Words = Vec<(SocketAddr, Message)>;
 
-impl Asker {
+impl Proposer {
     /// One that has asked nothing.
-    pub fn new(set: AskerSettings) -> Asker {
-        let ballot = Ballot { round: 0, asker: set.life };
-        let gives = set.life;
-        Asker { set, ballot, ask: 0, floor: Term::default(), job: None, outcome: None, last: None, gives }
+    pub fn new(set: ProposerConfig) -> Proposer {
+        let ballot = Ballot { round: 0, proposer: set.incarnation };
+        let gives = set.incarnation;
+        Proposer { set, ballot, ask: 0, floor: Term::default(), job: None, outcome: None, last: None, gives }
     }
 
     /// From now on it gives back the permits of that life, an earlier one of this very front that is over and
     /// uses none any more; its own life's again with `None`. Its tries and asks are its own in either case: those
     /// of the earlier life may be on their way still.
-    pub fn give_for(&mut self, earlier: Option<u64>) {
-        self.gives = earlier.unwrap_or(self.set.life);
+    pub fn return_permits_of(&mut self, earlier: Option<u64>) {
+        self.gives = earlier.unwrap_or(self.set.incarnation);
     }
 
     /// Asks for a change; `false`: one is under way, or the lease is too long.
-    pub fn ask(&mut self, now: Duration, change: Change) -> bool {
+    pub fn submit(&mut self, now: Duration, change: Change) -> bool {
         let lease = match change {
             Change::Grant { lease_ms, .. }
-            | Change::Start { lease_ms, .. }
-            | Change::Drive { lease_ms, .. } => lease_ms,
+            | Change::StartRelease { lease_ms, .. }
+            | Change::DriveRelease { lease_ms, .. } => lease_ms,
             _ => 0,
         };
-        if self.job.is_some() || Duration::from_millis(lease.into()) > self.set.longest {
+        if self.job.is_some() || Duration::from_millis(lease.into()) > self.set.max_lease {
             return false;
         }
         self.ask = self.ask.wrapping_add(1);
@@ -77,7 +77,7 @@
 
     /// A term that somebody has seen: terms rise past it even where a majority of the witnesses has forgotten
     /// it.
-    pub fn heard_of(&mut self, term: Term) {
+    pub fn observe_term(&mut self, term: Term) {
         self.floor = self.floor.max(term);
     }
 
@@ -92,16 +92,16 @@
     }
 
     /// When [`Asker::due`] is next due.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub fn next_timeout(&self) -> Option<Duration> {
         let job = self.job.as_ref()?;
         Some(match job.phase {
             Phase::Waiting(until) => until,
-            _ => job.again.min(job.asked + ROUND),
+            _ => job.again.min(job.asked + ROUND_TIMEOUT),
         })
     }
 
     /// Does what is due: words to witnesses.
-    pub fn due(&mut self, now: Duration) -> Words {
+    pub fn handle_timeout(&mut self, now: Duration) -> Words {
         let Some(job) = &mut self.job else { return Words::new() };
         match &job.phase {
             Phase::Waiting(until) if now < *until => Words::new(),
@@ -112,7 +112,7 @@
                 self.ballot.round = self.ballot.round.saturating_add(1);
                 self.words()
             }
-            _ if now >= job.asked + ROUND => {
+            _ if now >= job.asked + ROUND_TIMEOUT => {
                 self.try_later(now);
                 Words::new()
             }
@@ -126,16 +126,17 @@
 
     /// What is to be said to each witness that has not answered.
     pub(crate) fn words(&self) -> Words {
-        let (ballot, reply) = (self.ballot, self.set.me);
+        let (ballot, reply_to) = (self.ballot, self.set.address);
         match self.job.as_ref().map(|j| &j.phase) {
             Some(Phase::Preparing(heard)) => {
                 let others = self.set.witnesses.iter().filter(|w| !heard.contains_key(w));
-                others.map(|w| (*w, Word::Prepare { ballot, reply })).collect()
+                others.map(|w| (*w, Message::Prepare { ballot, reply_to })).collect()
             }
             Some(Phase::Accepting { value, lives, took }) => {
                 let others = lives.iter().filter(|(w, _)| !took.contains(w));
-                let accept = |life| Word::Accept { ballot, reply, life, value: value.clone() };
-                others.map(|(w, life)| (*w, accept(*life))).collect()
+                let accept =
+                    |incarnation| Message::Accept { ballot, reply_to, incarnation, value: value.clone() };
+                others.map(|(w, incarnation)| (*w, accept(*incarnation))).collect()
             }
             _ => Words::new(),
         }
@@ -144,11 +145,11 @@
     /// A later try, after a wait that differs by asker.
     fn try_later(&mut self, now: Duration) {
         let Some(job) = &mut self.job else { return };
-        if job.tries >= TRIES {
-            let outcome = if job.may_be { Outcome::Unknown } else { Outcome::NotHeard };
+        if job.tries >= MAX_ATTEMPTS {
+            let outcome = if job.may_be { Outcome::Unknown } else { Outcome::NoQuorum };
             return self.end(outcome);
         }
-        job.phase = Phase::Waiting(now + job.wait(self.set.seed ^ mix(self.ballot.round)));
+        job.phase = Phase::Waiting(now + job.wait(self.set.backoff_seed ^ mix(self.ballot.round)));
     }
 
     pub(crate) fn end(&mut self, outcome: Outcome) {
@@ -156,40 +157,47 @@
     }
 
     /// A witness's word; `seen`: what the change is judged by, where it comes to that now.
-    pub fn word(&mut self, now: Duration, word: Word, seen: Seen<'_>) -> Words {
+    pub fn handle_message(&mut self, now: Duration, word: Message, seen: GrantContext<'_>) -> Words {
         match word {
-            Word::Promise { ballot, witness, life, taken, lapsed, sight } => {
+            Message::Promise {
+                ballot,
+                witness,
+                incarnation: life,
+                accepted: taken,
+                expired_leases: lapsed,
+                memory: sight,
+            } => {
                 let promised = Promised { life, taken, lapsed, sight };
                 self.promised(now, ballot, witness, promised, seen)
             }
-            Word::Accepted { ballot, witness, sight } => {
+            Message::Accepted { ballot, witness, memory: sight } => {
                 self.accepted(ballot, witness, sight);
                 Words::new()
             }
-            Word::Outbid { ballot, promised, .. } => {
+            Message::Rejected { ballot, promised, .. } => {
                 if ballot == self.ballot && self.job.as_ref().is_some_and(Job::is_on) {
                     self.ballot.round = self.ballot.round.max(promised.round);
                     self.try_later(now);
                 }
                 Words::new()
             }
-            Word::Prepare { .. } | Word::Accept { .. } => Words::new(),
+            Message::Prepare { .. } | Message::Accept { .. } => Words::new(),
         }
     }
 
     /// # Errors
     /// An invariant that does not hold.
-    pub fn check(&self) -> Result<(), Broken> {
-        let is = |good, what| holds(good, "asker", self.set.life, what);
-        is(self.ballot.asker == self.set.life, "its tries are its own")?;
+    pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
+        let is = |good, what| ensure(good, "asker", self.set.incarnation, what);
+        is(self.ballot.proposer == self.set.incarnation, "its tries are its own")?;
         let Some(job) = &self.job else { return Ok(()) };
-        is(job.tries <= TRIES, "no more tries than are given")?;
+        is(job.tries <= MAX_ATTEMPTS, "no more tries than are given")?;
         is(job.begun <= job.asked, "a lease runs from before its first question")?;
         if let Phase::Accepting { value, lives, took } = &job.phase {
             is(took.len() < self.majority(), "what a majority took is done")?;
             is(took.iter().all(|w| lives.contains_key(w)), "only who promised takes")?;
-            is(value.longest() <= self.set.longest, "no lease longer than witnesses wait")?;
-            value.check()?;
+            is(value.longest_lease() <= self.set.max_lease, "no lease longer than witnesses wait")?;
+            value.check_invariants()?;
         }
         Ok(())
     }
--- a/crates/out/src/report.rs
+++ b/crates/out/src/report.rs
@@ -1,48 +1,48 @@
 //! What fronts say of themselves to a driver, and what it has done.
 
 use crate::change::Change;
-use crate::halts::Tally;
-use crate::staged::{Act, Generation};
+use crate::halt_detector::Tally;
+use crate::staged_config::{FencedOrder, Generation};
 use crate::types::{Place, Term};
 use std::time::Duration;
 
 /// Most fronts that a driver takes reports of; of more it takes those of the lowest names.
-pub const MOST_REPORTS: usize = 4_096;
+pub const MAX_REPORTS: usize = 4_096;
 
 /// Whether a front is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Out {
+pub enum ServiceState {
     /// It serves.
-    Serves,
+    Serving,
     /// It goes, is out or warms, by a permit.
-    Permit,
+    OutByPermit,
     /// The platform or an operator told it to: the release waits for it.
-    Told,
+    OutByOrder,
 }
 
 /// What a front says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Report {
+pub struct FrontReport {
     /// Where it stands.
     pub place: Place,
     /// When it was last heard of, on the driver's clock.
-    pub heard: Duration,
+    pub received_at: Duration,
     /// What it runs, as [`What::target`] names it.
-    pub runs: u64,
+    pub running: u64,
     /// The newest text that is staged and checked there.
-    pub staged: Generation,
+    pub newest_staged: Generation,
     /// A text did not pass its checks there.
-    pub bad_text: bool,
+    pub staging_failed: bool,
     /// Whether it is out.
-    pub out: Out,
+    pub service_state: ServiceState,
     /// It has an order to go that it has not followed to its end.
-    pub goes: bool,
+    pub restart_pending: bool,
     /// How long it has waited for a permit.
-    pub waits: Option<Duration>,
+    pub permit_wait: Option<Duration>,
     /// Restarts that failed, in a row.
-    pub failed: u16,
+    pub failed_restarts: u16,
     /// A rule's checker, or an invariant, has failed there.
-    pub rule: bool,
+    pub rule_violated: bool,
     /// Paid requests, since it started.
     pub paid: Tally,
     /// The highest fence that it has seen.
@@ -51,17 +51,17 @@
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Do {
+pub enum DriverAction {
     /// Ask the witnesses; how that ended goes to [`Driver::told`].
-    Ask(Change),
+    Submit(Change),
     /// Tell a front.
-    Act(u64, Act),
+    Send(u64, FencedOrder),
 }
 
 /// Who does worst has the highest: rules first, then failed restarts, then paid requests that were not
 /// served.
-pub(crate) fn does_worse(r: &Report) -> u64 {
-    let not_served = u64::from(r.paid.asked.saturating_sub(r.paid.served)) * 1_000;
-    let share = not_served.checked_div(r.paid.asked.into()).unwrap_or(0);
-    u64::from(r.rule) << 32 | u64::from(r.failed) << 16 | share
+pub(crate) fn does_worse(r: &FrontReport) -> u64 {
+    let not_served = u64::from(r.paid.requested.saturating_sub(r.paid.served)) * 1_000;
+    let share = not_served.checked_div(r.paid.requested.into()).unwrap_or(0);
+    u64::from(r.rule_violated) << 32 | u64::from(r.failed_restarts) << 16 | share
 }
--- a/crates/out/src/answers.rs
+++ b/crates/out/src/responses.rs
@@ -1,16 +1,16 @@
 //! A front's side: what it makes of witnesses' answers.
 
-use crate::asker::{Asker, Words};
 use crate::change::Change;
-use crate::job::{Outcome, Phase, Promised, AGAIN};
-use crate::limits::Seen;
+use crate::limits::GrantContext;
+use crate::message::Message;
+use crate::proposal::{Outcome, Phase, Promised, AGAIN};
+use crate::proposer::{Proposer, Words};
 use crate::types::*;
-use crate::words::Word;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-impl Asker {
+impl Proposer {
     pub(crate) fn majority(&self) -> usize {
         self.set.witnesses.len() / 2 + 1
     }
@@ -21,20 +21,20 @@
         of: Ballot,
         by: SocketAddr,
         said: Promised,
-        seen: Seen<'_>,
+        seen: GrantContext<'_>,
     ) -> Words {
         let (majority, all) = (self.majority(), self.set.witnesses.len());
         let known = self.set.witnesses.contains(&by);
         if let Some((ballot, asked, value)) = self.last.as_ref().filter(|l| l.0 == of && known) {
             // One that forgot and answers last comes to see again by it.
-            let late = said.sight == Sight::Waited && now < *asked + ROUND;
-            let (ballot, reply, life) = (*ballot, self.set.me, said.life);
-            let accept = || (by, Word::Accept { ballot, reply, life, value: value.clone() });
+            let late = said.sight == MemoryState::WaitedOut && now < *asked + ROUND_TIMEOUT;
+            let (ballot, reply_to, incarnation) = (*ballot, self.set.address, said.life);
+            let accept = || (by, Message::Accept { ballot, reply_to, incarnation, value: value.clone() });
             return late.then(accept).into_iter().collect();
         }
         let Some(job) = &mut self.job else { return Words::new() };
         // Guards against promises of a witness that has forgotten them since.
-        let in_time = now < job.asked + ROUND;
+        let in_time = now < job.asked + ROUND_TIMEOUT;
         if of != self.ballot || !known || !in_time {
             return Words::new();
         }
@@ -43,24 +43,25 @@
             // It comes after a majority: it takes the value all the same, and one that forgot comes to see again.
             Phase::Accepting { value, lives, .. } if !lives.contains_key(&by) => {
                 lives.insert(by, said.life);
-                let (reply, value) = (self.set.me, value.clone());
-                return vec![(by, Word::Accept { ballot: of, reply, life: said.life, value })];
+                let (reply_to, value) = (self.set.address, value.clone());
+                return vec![(by, Message::Accept { ballot: of, reply_to, incarnation: said.life, value })];
             }
             _ => return Words::new(),
         };
         heard.insert(by, said);
-        let seeing = heard.values().filter(|p| p.sight == Sight::Sees).count();
-        let waited = heard.values().filter(|p| p.sight != Sight::Blind).count();
+        let seeing = heard.values().filter(|p| p.sight == MemoryState::Current).count();
+        let waited = heard.values().filter(|p| p.sight != MemoryState::Recovering).count();
         if seeing < majority && waited < all {
             return Words::new();
         }
         let heard = std::mem::take(heard);
-        let taken = heard.values().filter(|p| p.sight != Sight::Blind).filter_map(|p| p.taken.as_ref());
+        let taken =
+            heard.values().filter(|p| p.sight != MemoryState::Recovering).filter_map(|p| p.taken.as_ref());
         let mut value = taken.max_by_key(|t| t.0).map(|t| t.1.clone()).unwrap_or_default();
         value.term = value.term.max(self.floor);
         let lapsed = heard.values().flat_map(Promised::over).collect();
-        value.lapse(&lapsed);
-        let me = if let Change::GiveBack { .. } = job.change { self.gives } else { self.set.life };
+        value.remove_expired(&lapsed);
+        let me = if let Change::ReturnPermit { .. } = job.change { self.gives } else { self.set.incarnation };
         if let Err(why) = value.apply((me, self.ask), &job.change, &lapsed, seen) {
             // A value of an earlier try may still get through.
             let outcome = if job.may_be { Outcome::Unknown } else { Outcome::Denied(why) };
@@ -73,11 +74,11 @@
         self.words()
     }
 
-    pub(crate) fn accepted(&mut self, of: Ballot, by: SocketAddr, sight: Sight) {
+    pub(crate) fn accepted(&mut self, of: Ballot, by: SocketAddr, sight: MemoryState) {
         let majority = self.majority();
         let Some(job) = &mut self.job else { return };
         let Phase::Accepting { value, lives, took } = &mut job.phase else { return };
-        if of != self.ballot || sight != Sight::Sees || !lives.contains_key(&by) {
+        if of != self.ballot || sight != MemoryState::Current || !lives.contains_key(&by) {
             return;
         }
         took.insert(by);
@@ -85,10 +86,10 @@
             return;
         }
         let value = value.clone();
-        let granted = job.granted(self.set.life, self.ask, &value);
+        let granted = job.granted(self.set.incarnation, self.ask, &value);
         self.last = Some((of, job.asked, value.clone()));
         self.floor = self.floor.max(value.term);
-        let outcome = Outcome::Done(value, granted);
+        let outcome = Outcome::Committed(value, granted);
         self.end(outcome);
     }
 }
--- a/crates/out/src/going.rs
+++ b/crates/out/src/rollout.rs
@@ -2,10 +2,10 @@
 
 use crate::change::Change;
 use crate::driver::Driver;
-use crate::limits::World;
-use crate::release::{Event, What};
-use crate::report::{does_worse, Do, Out, Report, MOST_REPORTS};
-use crate::staged::{Act, Generation, Order};
+use crate::limits::FleetView;
+use crate::release::{ReleaseEvent, ReleaseTarget};
+use crate::report::{does_worse, DriverAction, FrontReport, ServiceState, MAX_REPORTS};
+use crate::staged_config::{FencedOrder, Generation, Order};
 use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,53 +18,53 @@
         &mut self,
         now: Duration,
         r: ReleaseRecord,
-        reports: &BTreeMap<u64, Report>,
-        world: &World,
-        out: &mut Vec<Do>,
+        reports: &BTreeMap<u64, FrontReport>,
+        world: &FleetView,
+        out: &mut Vec<DriverAction>,
     ) -> Option<Change> {
-        let silent = reports.iter().filter(|(_, f)| now.saturating_sub(f.heard) > self.silent_after);
+        let silent = reports.iter().filter(|(_, f)| now.saturating_sub(f.received_at) > self.silent_after);
         let silent: BTreeSet<u64> = silent.map(|(n, _)| *n).collect();
-        let here: BTreeMap<u64, Report> =
+        let here: BTreeMap<u64, FrontReport> =
             reports.iter().filter(|(n, _)| !silent.contains(n)).map(|(n, f)| (*n, *f)).collect();
-        let cause = self.halts.cause(&self.plan, reports, &silent, world.unsure_for);
-        let going = matches!(r.stage, Stage::Canary | Stage::Wave(_) | Stage::Watched(_) | Stage::Forecast);
+        let cause = self.halts.halt_cause(&self.plan, reports, &silent, world.uncertain_for);
+        let going = matches!(r.stage, Stage::Canary | Stage::Wave(_) | Stage::Observed(_) | Stage::Forecast);
         if let Some(cause) = cause.filter(|_| going) {
-            return Some(Change::Halt { number: r.number, cause });
+            return Some(Change::HaltRelease { number: r.number, cause });
         }
         let event = match r.stage {
             Stage::Planned => match self.foretold {
-                Some(true) => Event::Foretold,
-                Some(false) => Event::Halt(Cause::Forecast),
+                Some(true) => ReleaseEvent::ForecastAllowed,
+                Some(false) => ReleaseEvent::Halt(HaltCause::Forecast),
                 None => return None,
             },
-            Stage::Forecast => self.stage_all(now, r, &here, out).then_some(Event::Staged)?,
+            Stage::Forecast => self.stage_all(now, r, &here, out).then_some(ReleaseEvent::Staged)?,
             Stage::Canary | Stage::Wave(_) => {
-                self.send(now, r, &here, reports, out).then_some(Event::Went)?
+                self.send(now, r, &here, reports, out).then_some(ReleaseEvent::WaveCompleted)?
             }
-            Stage::GoingBack => {
+            Stage::RollingBack => {
                 let staged = self.stage_all(now, r, &here, out);
-                (staged && self.send(now, r, &here, reports, out)).then_some(Event::Went)?
+                (staged && self.send(now, r, &here, reports, out)).then_some(ReleaseEvent::WaveCompleted)?
             }
-            Stage::Watched(_) => {
-                let watch = Duration::from_millis(self.plan.watch_ms.into());
-                (now >= self.since + watch).then_some(Event::Well)?
+            Stage::Observed(_) => {
+                let watch = Duration::from_millis(self.plan.observation_ms.into());
+                (now >= self.since + watch).then_some(ReleaseEvent::ObservationPassed)?
             }
             Stage::Halted(_) => {
-                for name in here.iter().filter(|(_, f)| f.goes).map(|(n, _)| *n) {
+                for name in here.iter().filter(|(_, f)| f.restart_pending).map(|(n, _)| *n) {
                     self.act(now, r, name, Order::Hold, out);
                 }
                 return None;
             }
-            Stage::Done | Stage::TakenBack => return None,
+            Stage::Done | Stage::RolledBack => return None,
         };
-        let waves = self.plan.last_wave();
-        Some(Change::Step { fence: r.fence, from: r.stage, event, waves })
+        let last_wave = self.plan.last_wave();
+        Some(Change::AdvanceRelease { fence: r.fence, from: r.stage, event, last_wave })
     }
 
     fn generation(&self) -> Option<Generation> {
-        match self.plan.what {
-            What::Build { .. } => None,
-            What::Settings { generation, digest } | What::Layout { generation, digest } => {
+        match self.plan.target {
+            ReleaseTarget::Build { .. } => None,
+            ReleaseTarget::Settings { generation, digest } | ReleaseTarget::Layout { generation, digest } => {
                 Some(Generation { number: generation, digest })
             }
         }
@@ -75,11 +75,11 @@
         &mut self,
         now: Duration,
         r: ReleaseRecord,
-        here: &BTreeMap<u64, Report>,
-        out: &mut Vec<Do>,
+        here: &BTreeMap<u64, FrontReport>,
+        out: &mut Vec<DriverAction>,
     ) -> bool {
         let Some(g) = self.generation() else { return true };
-        let missing: Vec<u64> = here.iter().filter(|(_, f)| f.staged != g).map(|(n, _)| *n).collect();
+        let missing: Vec<u64> = here.iter().filter(|(_, f)| f.newest_staged != g).map(|(n, _)| *n).collect();
         missing.iter().for_each(|name| self.act(now, r, *name, Order::Stage(g), out));
         missing.is_empty()
     }
@@ -89,42 +89,47 @@
         &mut self,
         now: Duration,
         r: ReleaseRecord,
-        here: &BTreeMap<u64, Report>,
-        all: &BTreeMap<u64, Report>,
-        out: &mut Vec<Do>,
+        here: &BTreeMap<u64, FrontReport>,
+        all: &BTreeMap<u64, FrontReport>,
+        out: &mut Vec<DriverAction>,
     ) -> bool {
         let fleet: BTreeMap<u64, Place> = all.iter().map(|(n, f)| (*n, f.place)).collect();
-        let targets = self.plan.targets(r.stage, &fleet);
+        let targets = self.plan.fronts_at(r.stage, &fleet);
         let worse = |name: u64| here.get(&name).map_or(0, does_worse);
         let order: Vec<u64> =
-            self.plan.order(&fleet, worse).into_iter().filter(|n| targets.contains(n)).collect();
-        let target = self.plan.what.target();
+            self.plan.rollout_order(&fleet, worse).into_iter().filter(|n| targets.contains(n)).collect();
+        let target = self.plan.target.version_id();
         let here = |name: &u64| here.get(name);
         let pending: Vec<u64> =
-            order.iter().filter(|n| here(n).is_some_and(|f| f.runs != target)).copied().collect();
-        let away = order.iter().filter_map(here).any(|f| f.out != Out::Serves || f.goes);
+            order.iter().filter(|n| here(n).is_some_and(|f| f.running != target)).copied().collect();
+        let away = order
+            .iter()
+            .filter_map(here)
+            .any(|f| f.service_state != ServiceState::Serving || f.restart_pending);
         if pending.is_empty() {
             return !away;
         }
         // Whoever was told to stop by others goes first; nobody is sent meanwhile.
-        if all.values().any(|f| f.out == Out::Told) {
+        if all.values().any(|f| f.service_state == ServiceState::OutByOrder) {
             return false;
         }
-        let (at_once, order) = match (self.plan.what, self.generation()) {
-            (What::Build { word }, _) => (self.plan.limits.fronts.fleet.into(), Order::Go { word }),
-            (_, Some(g)) => (MOST_REPORTS, Order::Take(g)),
+        let (at_once, order) = match (self.plan.target, self.generation()) {
+            (ReleaseTarget::Build { build_id }, _) => {
+                (self.plan.limits.fronts.fleet.into(), Order::Restart { build_id })
+            }
+            (_, Some(g)) => (MAX_REPORTS, Order::Activate(g)),
             (_, None) => return false,
         };
         pending.into_iter().take(at_once).for_each(|name| self.act(now, r, name, order, out));
         false
     }
 
-    fn act(&mut self, now: Duration, r: ReleaseRecord, name: u64, order: Order, out: &mut Vec<Do>) {
-        let act = Act { fence: r.fence, release: r.number, order };
+    fn act(&mut self, now: Duration, r: ReleaseRecord, name: u64, order: Order, out: &mut Vec<DriverAction>) {
+        let act = FencedOrder { fence: r.fence, release: r.number, order };
         if self.acted.get(&name).is_some_and(|(last, at)| *last == act && now < *at + AGAIN) {
             return;
         }
         self.acted.insert(name, (act, now));
-        out.push(Do::Act(name, act));
+        out.push(DriverAction::Send(name, act));
     }
 }
--- a/crates/out/src/staged.rs
+++ b/crates/out/src/staged_config.rs
@@ -1,11 +1,11 @@
 //! A front's side of settings and layouts: staged, checked, then taken whole at a step boundary.
 
-use crate::types::{holds, Broken, ReleaseRecord, Term};
+use crate::types::{ensure, InvariantViolation, ReleaseRecord, Term};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Most generations kept: the one that holds, those that sessions began with, those that were staged.
-pub const MOST_GENERATIONS: usize = 8;
+pub const MAX_GENERATIONS: usize = 8;
 
 /// One text of settings, or of the layout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,11 +22,14 @@
     /// Fetch that text and check it.
     Stage(Generation),
     /// Take it at the next step boundary.
-    Take(Generation),
+    #[serde(rename = "Take")]
+    Activate(Generation),
     /// Ask for a permit, and restart into that build.
-    Go {
+    #[serde(rename = "Go")]
+    Restart {
         /// Its word.
-        word: u64,
+        #[serde(rename = "word")]
+        build_id: u64,
     },
     /// Do not go, if it has not gone; come back, if it is out.
     Hold,
@@ -34,7 +37,7 @@
 
 /// An order with the term of its driver's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Act {
+pub struct FencedOrder {
     /// The fence.
     pub fence: Term,
     /// The release.
@@ -47,22 +50,26 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
-pub enum Refusal {
+pub enum OrderError {
     /// A later driver has spoken.
     #[error("a later driver has spoken")]
-    Fence(Term),
+    #[serde(rename = "Fence")]
+    StaleFence(Term),
     /// That release is over here: a later one has come.
     #[error("a later release has come")]
-    Over(u64),
+    #[serde(rename = "Over")]
+    StaleRelease(u64),
     /// It was not staged and checked.
     #[error("not staged and checked")]
     NotStaged,
     /// As many generations are in use as are kept.
     #[error("too many generations in use")]
-    Full,
+    #[serde(rename = "Full")]
+    TooManyGenerations,
     /// Older than what holds, or another text of the same number.
     #[error("an older generation, or another text")]
-    Older,
+    #[serde(rename = "Older")]
+    StaleGeneration,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -74,7 +81,7 @@
 
 /// A front's side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Staged {
+pub struct StagedConfig {
     me: u64,
     fence: Term,
     release: u64,
@@ -84,60 +91,60 @@
     texts: BTreeMap<u64, Text>,
 }
 
-impl Staged {
+impl StagedConfig {
     /// A front of that name that starts under those.
-    pub fn new(me: u64, now: Generation) -> Staged {
+    pub fn new(me: u64, now: Generation) -> StagedConfig {
         let text = Text { digest: now.digest, checked: true, sessions: 0 };
         let texts = BTreeMap::from([(now.number, text)]);
-        Staged { me, fence: Term::default(), release: 0, now, next: None, go: None, texts }
+        StagedConfig { me, fence: Term::default(), release: 0, now, next: None, go: None, texts }
     }
 
     /// A driver's order.
     ///
     /// # Errors
     /// It is not followed, and changed nothing.
-    pub fn act(&mut self, act: Act) -> Result<(), Refusal> {
+    pub fn handle_order(&mut self, act: FencedOrder) -> Result<(), OrderError> {
         // Guards against a driver that stood still: what a later one did would be undone.
         if act.fence < self.fence {
-            return Err(Refusal::Fence(self.fence));
+            return Err(OrderError::StaleFence(self.fence));
         }
         if act.release < self.release {
-            return Err(Refusal::Over(self.release));
+            return Err(OrderError::StaleRelease(self.release));
         }
         match act.order {
             Order::Stage(g) => self.stage(g)?,
-            Order::Take(g) => self.take(g)?,
-            Order::Go { word } => self.go = Some(word),
+            Order::Activate(g) => self.take(g)?,
+            Order::Restart { build_id: word } => self.go = Some(word),
             Order::Hold => (self.go, self.next) = (None, None),
         }
         (self.fence, self.release) = (act.fence, act.release);
         Ok(())
     }
 
-    fn stage(&mut self, g: Generation) -> Result<(), Refusal> {
+    fn stage(&mut self, g: Generation) -> Result<(), OrderError> {
         if let Some(text) = self.texts.get(&g.number) {
-            return if text.digest == g.digest { Ok(()) } else { Err(Refusal::Older) };
+            return if text.digest == g.digest { Ok(()) } else { Err(OrderError::StaleGeneration) };
         }
         if g.number < self.now.number {
-            return Err(Refusal::Older);
+            return Err(OrderError::StaleGeneration);
         }
         self.forget();
-        if self.texts.len() >= MOST_GENERATIONS {
-            return Err(Refusal::Full);
+        if self.texts.len() >= MAX_GENERATIONS {
+            return Err(OrderError::TooManyGenerations);
         }
         self.texts.insert(g.number, Text { digest: g.digest, ..Text::default() });
         Ok(())
     }
 
-    fn take(&mut self, g: Generation) -> Result<(), Refusal> {
+    fn take(&mut self, g: Generation) -> Result<(), OrderError> {
         if g == self.now {
             return Ok(());
         }
         if g.number <= self.now.number {
-            return Err(Refusal::Older);
+            return Err(OrderError::StaleGeneration);
         }
         if !self.texts.get(&g.number).is_some_and(|t| t.checked && t.digest == g.digest) {
-            return Err(Refusal::NotStaged);
+            return Err(OrderError::NotStaged);
         }
         self.next = Some(g);
         Ok(())
@@ -153,21 +160,21 @@
     }
 
     /// A text that was to be staged: the first without one.
-    pub fn wanted(&self) -> Option<Generation> {
+    pub fn missing_text(&self) -> Option<Generation> {
         let text = self.texts.iter().find(|(_, t)| !t.checked);
         text.map(|(number, t)| Generation { number: *number, digest: t.digest })
     }
 
     /// The text of that generation came. `digest`: as reckoned here; `good`: it can be read and passes all
     /// checks. Whether it is staged.
-    pub fn text(&mut self, number: u64, digest: u64, good: bool) -> bool {
+    pub fn receive_text(&mut self, number: u64, digest: u64, good: bool) -> bool {
         let Some(text) = self.texts.get_mut(&number) else { return false };
         text.checked |= good && text.digest == digest;
         text.checked
     }
 
     /// Between two steps: takes what is to be taken.
-    pub fn boundary(&mut self) -> Option<Generation> {
+    pub fn activate_pending(&mut self) -> Option<Generation> {
         let taken = self.next.take()?;
         self.now = taken;
         self.forget();
@@ -175,19 +182,19 @@
     }
 
     /// What a request is decided under, from one boundary to the next.
-    pub fn now(&self) -> Generation {
+    pub fn active(&self) -> Generation {
         self.now
     }
 
     /// A session begins: it keeps that generation to its end. `None`: more than can be counted.
-    pub fn begins(&mut self) -> Option<Generation> {
+    pub fn start_session(&mut self) -> Option<Generation> {
         let text = self.texts.get_mut(&self.now.number)?;
         text.sessions = text.sessions.checked_add(1)?;
         Some(self.now)
     }
 
     /// A session that began with that generation ends.
-    pub fn ends(&mut self, number: u64) {
+    pub fn end_session(&mut self, number: u64) {
         if let Some(text) = self.texts.get_mut(&number) {
             text.sessions = text.sessions.saturating_sub(1);
         }
@@ -195,7 +202,7 @@
     }
 
     /// Whether that generation's text is here, for a session that began with it.
-    pub fn keeps(&self, g: Generation) -> bool {
+    pub fn has_text(&self, g: Generation) -> bool {
         self.texts.get(&g.number).is_some_and(|t| t.digest == g.digest && t.checked)
     }
 
@@ -204,31 +211,31 @@
     ///
     /// # Errors
     /// As for an order.
-    pub fn came_back(&mut self, fence: Term, release: u64, holds: Generation) -> Result<(), Refusal> {
+    pub fn catch_up(&mut self, fence: Term, release: u64, holds: Generation) -> Result<(), OrderError> {
         if holds.number <= self.now.number && fence <= self.fence {
             return Ok(());
         }
-        self.act(Act { fence, release, order: Order::Stage(holds) })?;
-        match self.act(Act { fence, release, order: Order::Take(holds) }) {
-            Err(Refusal::NotStaged) => Ok(()),
+        self.handle_order(FencedOrder { fence, release, order: Order::Stage(holds) })?;
+        match self.handle_order(FencedOrder { fence, release, order: Order::Activate(holds) }) {
+            Err(OrderError::NotStaged) => Ok(()),
             other => other,
         }
     }
 
     /// The release as the register has it: no order of an earlier driver is followed from now on. A front
     /// that starts asks for it before it follows any.
-    pub fn heard(&mut self, record: &ReleaseRecord) {
+    pub fn observe_release(&mut self, record: &ReleaseRecord) {
         self.fence = self.fence.max(record.fence);
         self.release = self.release.max(record.number);
     }
 
     /// The build that it is to restart into, once it has a permit.
-    pub fn go(&self) -> Option<u64> {
+    pub fn pending_restart(&self) -> Option<u64> {
         self.go
     }
 
     /// The newest generation that is staged and checked.
-    pub fn staged(&self) -> Generation {
+    pub fn newest_staged(&self) -> Generation {
         let newest = self.texts.iter().rev().find(|(_, t)| t.checked);
         newest.map_or(self.now, |(number, t)| Generation { number: *number, digest: t.digest })
     }
@@ -240,10 +247,13 @@
 
     /// # Errors
     /// An invariant that does not hold.
-    pub fn check(&self) -> Result<(), Broken> {
-        let is = |good, what| holds(good, "staged", self.me, what);
-        is(self.texts.len() <= MOST_GENERATIONS, "no more generations than are kept")?;
-        is(self.keeps(self.now), "what holds is here and checked")?;
-        is(self.next.is_none_or(|g| self.keeps(g) && g.number > self.now.number), "what is next is checked")
+    pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
+        let is = |good, what| ensure(good, "staged", self.me, what);
+        is(self.texts.len() <= MAX_GENERATIONS, "no more generations than are kept")?;
+        is(self.has_text(self.now), "what holds is here and checked")?;
+        is(
+            self.next.is_none_or(|g| self.has_text(g) && g.number > self.now.number),
+            "what is next is checked",
+        )
     }
 }
--- a/crates/out/src/types.rs
+++ b/crates/out/src/types.rs
@@ -4,39 +4,44 @@
 use std::time::Duration;
 
 /// Most permits that the register holds: a word with the largest value fits into one datagram.
-pub const MOST_PERMITS: usize = 20;
+pub const MAX_PERMITS: usize = 20;
 /// A try's words count for so long: an asker uses promises no longer after its question went out, a witness
 /// takes a value no longer after its promise.
-pub const ROUND: Duration = Duration::from_secs(2);
+pub const ROUND_TIMEOUT: Duration = Duration::from_secs(2);
 /// What was done under a lease may be done so long after it at the most.
-const LATE: Duration = Duration::from_secs(2);
+const MAX_EFFECT_DELAY: Duration = Duration::from_secs(2);
 /// Clocks may differ in pace by this part.
-const PACE: u32 = 10;
+const CLOCK_DRIFT_DIVISOR: u32 = 10;
 
 /// How long a witness keeps what lasts for a lease: past its end by the holder's clock, whose pace may differ
 /// by a tenth, and by what is done late under it.
-pub fn hold(lease: Duration) -> Duration {
-    lease + lease / PACE + LATE
+pub fn hold_time(lease: Duration) -> Duration {
+    lease + lease / CLOCK_DRIFT_DIVISOR + MAX_EFFECT_DELAY
 }
 
 /// An invariant does not hold: a fault of this crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{machine} of {who:x}: {what}")]
-pub struct Broken {
+#[error("{component} of {id:x}: {invariant}")]
+pub struct InvariantViolation {
     /// Which state machine.
-    pub machine: &'static str,
+    pub component: &'static str,
     /// Whose: a life, a port, a term.
-    pub who: u64,
+    pub id: u64,
     /// Which invariant.
-    pub what: &'static str,
+    pub invariant: &'static str,
 }
 
 /// Fails with the invariant's name unless it holds.
-pub(crate) fn holds(good: bool, machine: &'static str, who: u64, what: &'static str) -> Result<(), Broken> {
-    if good {
+pub(crate) fn ensure(
+    condition: bool,
+    component: &'static str,
+    id: u64,
+    invariant: &'static str,
+) -> Result<(), InvariantViolation> {
+    if condition {
         Ok(())
     } else {
-        Err(Broken { machine, who, what })
+        Err(InvariantViolation { component, id, invariant })
     }
 }
 
@@ -51,7 +56,8 @@
     /// Rises.
     pub round: u64,
     /// The asker's life (drawn at its start).
-    pub asker: u64,
+    #[serde(rename = "asker")]
+    pub proposer: u64,
 }
 
 /// Who may be out.
@@ -67,7 +73,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place {
     /// The hall, by a digest of its name.
-    pub hall: u32,
+    #[serde(rename = "hall")]
+    pub zone: u32,
     /// The rack, where it stands in one.
     pub rack: Option<u32>,
     /// A server's cell: a title lies on a run of them.
@@ -85,7 +92,8 @@
     pub holder: u64,
     /// Which of that process's asks: with the holder it names this grant or renewal, as a term alone does
     /// not: two tries of which none got through may bear the same one.
-    pub ask: u32,
+    #[serde(rename = "ask")]
+    pub request_id: u32,
     /// The term in which it was granted or last renewed.
     pub term: Term,
     /// How long it lasts from before that was asked, ms.
@@ -99,37 +107,41 @@
     }
 
     /// How long a witness keeps it from when it took it.
-    pub fn hold(&self) -> Duration {
-        hold(self.lease())
+    pub fn hold_time(&self) -> Duration {
+        hold_time(self.lease())
     }
 
     /// This very grant or renewal.
-    pub fn id(&self) -> Id {
-        Id { subject: Some(self.subject), holder: self.holder, ask: self.ask }
+    pub fn lease_id(&self) -> LeaseId {
+        LeaseId { subject: Some(self.subject), holder: self.holder, request_id: self.request_id }
     }
 }
 
 /// One lease that a witness counts the age of: a permit's, or (without a subject) the release's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct LeaseId {
     /// Of a permit: for whom.
     pub subject: Option<Subject>,
     /// Whose.
     pub holder: u64,
     /// By which of its asks.
-    pub ask: u32,
+    #[serde(rename = "ask")]
+    pub request_id: u32,
 }
 
 /// What a witness knows after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Sight {
+pub enum MemoryState {
     /// It forgot, and what it forgot may be in force: its word counts for nothing.
-    Blind,
+    #[serde(rename = "Blind")]
+    Recovering,
     /// It forgot, and nothing that it forgot is in force any more. It has not taken the value anew: it counts
     /// only where all witnesses answer, as at a fleet's first start.
-    Waited,
+    #[serde(rename = "Waited")]
+    WaitedOut,
     /// It knows all that it ever took.
-    Sees,
+    #[serde(rename = "Sees")]
+    Current,
 }
 
 /// Where a release stands. The moves between these are [`crate::Release`]'s table alone.
@@ -144,34 +156,43 @@
     /// That wave goes.
     Wave(u16),
     /// Whoever went in that wave (0: the canaries) is watched, nobody goes.
-    Watched(u16),
+    #[serde(rename = "Watched")]
+    Observed(u16),
     /// Nobody new goes out, who is out comes back.
-    Halted(Cause),
+    Halted(HaltCause),
     /// What was changed is changed back.
-    GoingBack,
+    #[serde(rename = "GoingBack")]
+    RollingBack,
     /// All have it.
     Done,
     /// All have what they had.
-    TakenBack,
+    #[serde(rename = "TakenBack")]
+    RolledBack,
 }
 
 /// Why a release halted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Cause {
+pub enum HaltCause {
     /// An operator said so.
     Operator,
     /// A rule's checker, or an invariant, at a changed front.
-    Rule,
+    #[serde(rename = "Rule")]
+    RuleViolation,
     /// Restarts that fail or loop.
-    Restarts,
+    #[serde(rename = "Restarts")]
+    FailedRestarts,
     /// Paid worth served at changed fronts is under that of unchanged ones by more than chance.
-    Worth,
+    #[serde(rename = "Worth")]
+    ServedShare,
     /// Permits could not be had for too long.
-    Permits,
+    #[serde(rename = "Permits")]
+    PermitWait,
     /// The view is too unsure.
-    View,
+    #[serde(rename = "View")]
+    UncertainView,
     /// More are out than planned.
-    Out,
+    #[serde(rename = "Out")]
+    TooManyOut,
     /// What came was outside what was foretold.
     Forecast,
     /// A front does not take what was staged.
@@ -184,7 +205,8 @@
     /// Rises with each release; the way back is one too.
     pub number: u64,
     /// Which plan, by a digest of its text.
-    pub plan: u64,
+    #[serde(rename = "plan")]
+    pub plan_digest: u64,
     /// Where it stands.
     pub stage: Stage,
     /// The life that drives it.
@@ -194,18 +216,19 @@
     /// How long the driver may act without renewing it, ms.
     pub lease_ms: u32,
     /// Which of the driver's asks renewed it last.
-    pub ask: u32,
+    #[serde(rename = "ask")]
+    pub request_id: u32,
 }
 
 impl ReleaseRecord {
     /// The lease as it was last renewed.
-    pub fn id(&self) -> Id {
-        Id { subject: None, holder: self.driver, ask: self.ask }
+    pub fn lease_id(&self) -> LeaseId {
+        LeaseId { subject: None, holder: self.driver, request_id: self.request_id }
     }
 
     /// How long a witness keeps it.
-    pub fn hold(&self) -> Duration {
-        hold(Duration::from_millis(self.lease_ms.into()))
+    pub fn hold_time(&self) -> Duration {
+        hold_time(Duration::from_millis(self.lease_ms.into()))
     }
 }
 
--- a/crates/out/tests/agree/mod.rs
+++ b/crates/out/tests/agree/mod.rs
@@ -16,13 +16,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     now: Duration,
-    askers: Vec<Asker>,
-    clerks: Vec<Clerk>,
+    askers: Vec<Proposer>,
+    clerks: Vec<Acceptor>,
     /// What each asker says to each witness now.
-    words: BTreeMap<(usize, usize), Word>,
-    late: Vec<(usize, usize, Word)>,
+    words: BTreeMap<(usize, usize), Message>,
+    late: Vec<(usize, usize, Message)>,
     asks: Vec<u8>,
-    granted: Vec<Option<Granted>>,
+    granted: Vec<Option<GrantedLease>>,
     /// What was done before the ask that is under way began.
     before: Vec<Term>,
     done: BTreeMap<Term, Register>,
@@ -58,18 +58,25 @@
 }
 
 fn limits(limit: u16) -> Limits {
-    let most = Most { fleet: limit, hall: 9, rack: 9 };
-    Limits { fronts: most, servers: most, copies: 0, cells: 0, free: None, unsure_ms: 1_000 }
+    let most = MaxOutOfService { fleet: limit, zone: 9, rack: 9 };
+    Limits {
+        fronts: most,
+        servers: most,
+        cells_per_title: 0,
+        ring_cells: 0,
+        free_link_kbit_s: None,
+        max_uncertain_ms: 1_000,
+    }
 }
 
 impl World {
-    fn say(&self, s: &mut State, i: usize, words: Vec<(SocketAddr, Word)>) {
+    fn say(&self, s: &mut State, i: usize, words: Vec<(SocketAddr, Message)>) {
         for (to, word) in words {
             let w = usize::from(to.port()) - 1;
             // Two of the three are asked in each try, which ones is open; what is said anew replaces what was
             // said.
-            let accepts = matches!(word, Word::Accept { .. });
-            s.words.retain(|(j, _), old| *j != i || !accepts || matches!(old, Word::Accept { .. }));
+            let accepts = matches!(word, Message::Accept { .. });
+            s.words.retain(|(j, _), old| *j != i || !accepts || matches!(old, Message::Accept { .. }));
             let old = s.words.insert((i, w), word.clone());
             if let Some(old) = old.filter(|o| *o != word && s.lates < self.lates) {
                 s.lates += 1;
@@ -78,31 +85,33 @@
         }
     }
 
-    fn deliver(&self, s: &mut State, i: usize, w: usize, word: &Word, answered: bool) {
-        let Some((_, answer)) = s.clerks[w].word(s.now, word) else { return };
-        s.broken |= s.clerks[w].check().is_err();
+    fn deliver(&self, s: &mut State, i: usize, w: usize, word: &Message, answered: bool) {
+        let Some((_, answer)) = s.clerks[w].handle_message(s.now, word) else { return };
+        s.broken |= s.clerks[w].check_invariants().is_err();
         if !answered {
             return;
         }
-        let world = cloverhollow_out::World::default();
+        let world = cloverhollow_out::FleetView::default();
         let limits = limits(self.limit);
-        let words = s.askers[i].word(s.now, answer, Seen { world: &world, limits: &limits });
+        let words =
+            s.askers[i].handle_message(s.now, answer, GrantContext { fleet: &world, limits: &limits });
         self.say(s, i, words);
-        s.broken |= s.askers[i].check().is_err();
+        s.broken |= s.askers[i].check_invariants().is_err();
         let Some(outcome) = s.askers[i].take_outcome() else { return };
         s.words.retain(|(asker, _), _| *asker != i);
-        if let Outcome::Done(value, granted) = outcome {
+        if let Outcome::Committed(value, granted) = outcome {
             s.broken |= value.term <= s.before[i];
             s.broken |= s.done.insert(value.term, value.clone()).is_some_and(|old| old != value);
-            s.renewed |= s.granted[i].is_some_and(|g| g.at(s.now));
-            s.lapsed |= s.granted.iter().enumerate().any(|(j, g)| j != i && g.is_some_and(|g| !g.at(s.now)));
+            s.renewed |= s.granted[i].is_some_and(|g| g.is_valid_at(s.now));
+            s.lapsed |=
+                s.granted.iter().enumerate().any(|(j, g)| j != i && g.is_some_and(|g| !g.is_valid_at(s.now)));
             s.granted[i] = granted.or(s.granted[i]);
         }
     }
 
     fn due(&self, s: &mut State) {
         for i in 0..s.askers.len() {
-            let words = s.askers[i].due(s.now);
+            let words = s.askers[i].handle_timeout(s.now);
             if !words.is_empty() {
                 self.say(s, i, words);
             }
@@ -119,17 +128,17 @@
     fn init_states(&self) -> Vec<State> {
         let witnesses: Vec<SocketAddr> = (1..=3).map(address).collect();
         let asker = |i: usize| {
-            let set = AskerSettings {
-                me: address(100 + i as u16),
-                life: 1 + i as u64,
+            let set = ProposerConfig {
+                address: address(100 + i as u16),
+                incarnation: 1 + i as u64,
                 witnesses: witnesses.clone(),
-                longest: self.lease,
-                seed: i as u64,
+                max_lease: self.lease,
+                backoff_seed: i as u64,
             };
-            Asker::new(set)
+            Proposer::new(set)
         };
-        let kept = Kept { sees: true, ..Kept::default() };
-        let clerk = |w: &SocketAddr| Clerk::new(Duration::ZERO, *w, 7, self.lease, Some(kept.clone()));
+        let kept = PersistedState { is_current: true, ..PersistedState::default() };
+        let clerk = |w: &SocketAddr| Acceptor::new(Duration::ZERO, *w, 7, self.lease, Some(kept.clone()));
         vec![State {
             now: BEGIN,
             askers: (0..self.askers).map(asker).collect(),
@@ -188,8 +197,8 @@
                 s.before[i] = s.done.keys().next_back().copied().unwrap_or_default();
                 let (subject, place) = (Subject::Front(i as u64), Place::default());
                 let lease_ms = self.lease.as_millis() as u32;
-                s.askers[i].ask(s.now, Change::Grant { subject, place, lease_ms, release: None });
-                let words = s.askers[i].due(s.now);
+                s.askers[i].submit(s.now, Change::Grant { subject, place, lease_ms, release: None });
+                let words = s.askers[i].handle_timeout(s.now);
                 self.say(&mut s, i, words);
             }
             Happens::Arrives(i, w, answered) => {
@@ -208,7 +217,7 @@
             }
             Happens::Forgets(w) => {
                 s.forgets += 1;
-                s.clerks[w] = Clerk::new(s.now, address(1 + w as u16), 70 + w as u64, self.lease, None);
+                s.clerks[w] = Acceptor::new(s.now, address(1 + w as u16), 70 + w as u64, self.lease, None);
             }
         }
         Some(s)
@@ -227,7 +236,7 @@
 }
 
 fn in_force(s: &State) -> usize {
-    s.granted.iter().flatten().filter(|g| g.at(s.now)).count()
+    s.granted.iter().flatten().filter(|g| g.is_valid_at(s.now)).count()
 }
 
 pub const OVER: &str = "no more permits in force than the limit";
--- a/crates/out/tests/fleet.rs
+++ b/crates/out/tests/fleet.rs
@@ -12,8 +12,8 @@
 
 fn begun_with(fleet: usize, witnesses: usize, seed: u64, most_out: usize) -> Net {
     let mut net = Net::new(fleet, witnesses, seed, most_out);
-    net.operator(|d, _| d.foretold(true));
-    net.fronts[0].driver.as_mut().unwrap().begin();
+    net.operator(|d, _| d.set_forecast(true));
+    net.fronts[0].driver.as_mut().unwrap().start_release();
     net
 }
 
@@ -83,14 +83,14 @@
         let (net, over) = rough(fleet, [3, 5][seed as usize % 2], seed, forgets);
         assert!(over, "seed {seed}: {:?} after {:?}", net.record(), net.now);
         let stage = net.record().map(|r| r.stage);
-        ends[usize::from(stage == Some(Stage::TakenBack))] += 1;
+        ends[usize::from(stage == Some(Stage::RolledBack))] += 1;
         grants += net.grants;
         most = most.max(net.most_out);
         causes.extend(net.causes);
     }
     println!("{grants} grants, {} done, {} taken back, {most} out at most", ends[0], ends[1]);
     println!("halted: {causes:?}");
-    assert!(causes.contains(&Cause::Out) && causes.contains(&Cause::Worth));
+    assert!(causes.contains(&HaltCause::TooManyOut) && causes.contains(&HaltCause::ServedShare));
 }
 
 #[test]
@@ -105,12 +105,12 @@
     let mut net = begun(40, 3, 7);
     net.bad_share = 0.3;
     assert!(net.settles(s(3_000)));
-    assert_eq!(net.record().map(|r| r.stage), Some(Stage::TakenBack));
+    assert_eq!(net.record().map(|r| r.stage), Some(Stage::RolledBack));
     assert!(net.fronts.iter().all(|f| f.build == 1));
     let went = net.fronts.iter().filter(|f| f.restarts > 0).count();
     println!("{went} of 40 had gone when it halted");
     assert!(went < 40);
-    assert_eq!(net.causes.first(), Some(&Cause::Worth));
+    assert_eq!(net.causes.first(), Some(&HaltCause::ServedShare));
 }
 
 #[test]
--- a/crates/out/tests/halts.rs
+++ b/crates/out/tests/halts.rs
@@ -1,6 +1,6 @@
 //! The test on paid worth: how often it halts for nothing, and how soon for something.
 
-use cloverhollow_out::{Paid, Tally, Worth};
+use cloverhollow_out::{PaidBlock, ServedShareTest, Tally};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -8,13 +8,13 @@
 const ERROR_PPM: u32 = 10_000;
 
 fn tally(rng: &mut ChaCha8Rng, asked: u32, share: f64) -> Tally {
-    Tally { asked, served: (0..asked).filter(|_| rng.random_bool(share)).count() as u32 }
+    Tally { requested: asked, served: (0..asked).filter(|_| rng.random_bool(share)).count() as u32 }
 }
 
 /// Blocks of drawn sizes, of a share that wanders; after how many requests at changed fronts it halts.
 fn run(seed: u64, share: f64, difference: f64, blocks: u32) -> Option<u32> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed << 32 | share.to_bits() >> 40);
-    let mut worth = Worth::new(ERROR_PPM);
+    let mut worth = ServedShareTest::new(ERROR_PPM);
     let mut asked = 0;
     for _ in 0..blocks {
         let wanders = (share + rng.random_range(-0.1..0.1)).clamp(0.0, 1.0);
@@ -22,7 +22,7 @@
         let changed = tally(&mut rng, c, (wanders - difference).clamp(0.0, 1.0));
         let unchanged = tally(&mut rng, u, wanders);
         asked += c;
-        if worth.block(Paid { changed, unchanged }) {
+        if worth.add_block(PaidBlock { changed, unchanged }) {
             return Some(asked);
         }
     }
@@ -61,11 +61,11 @@
 
 #[test]
 fn counts_that_cannot_be_are_harmless() {
-    let mut worth = Worth::new(0);
-    let odd = Tally { asked: 1, served: u32::MAX };
+    let mut worth = ServedShareTest::new(0);
+    let odd = Tally { requested: 1, served: u32::MAX };
     for _ in 0..10 {
-        worth.block(Paid { changed: odd, unchanged: odd });
-        worth.block(Paid { changed: Tally { asked: u32::MAX, served: 0 }, unchanged: odd });
+        worth.add_block(PaidBlock { changed: odd, unchanged: odd });
+        worth.add_block(PaidBlock { changed: Tally { requested: u32::MAX, served: 0 }, unchanged: odd });
     }
     assert!(worth.log_evidence().is_finite());
 }
--- a/crates/out/tests/model_release.rs
+++ b/crates/out/tests/model_release.rs
@@ -12,21 +12,28 @@
 use stateright::{Checker, Model};
 
 fn plan() -> Plan {
-    let most = Most { fleet: 1, hall: 1, rack: 1 };
-    let limits = Limits { fronts: most, servers: most, copies: 0, cells: 0, free: None, unsure_ms: 1_000 };
+    let most = MaxOutOfService { fleet: 1, zone: 1, rack: 1 };
+    let limits = Limits {
+        fronts: most,
+        servers: most,
+        cells_per_title: 0,
+        ring_cells: 0,
+        free_link_kbit_s: None,
+        max_uncertain_ms: 1_000,
+    };
     Plan {
         number: 1,
-        what: What::Build { word: 2 },
-        before: What::Build { word: 1 },
+        target: ReleaseTarget::Build { build_id: 2 },
+        previous: ReleaseTarget::Build { build_id: 1 },
         canaries: 1,
         waves: Vec::new(),
         limits,
-        watch_ms: 0,
-        most_out: 9,
-        restarts: 1,
-        permits_ms: 60_000,
-        error_ppm: 1,
-        back: None,
+        observation_ms: 0,
+        max_out: 9,
+        max_failed_restarts: 1,
+        max_permit_wait_ms: 60_000,
+        false_halt_ppm: 1,
+        rollback_of: None,
     }
 }
 
--- a/crates/out/tests/net/front.rs
+++ b/crates/out/tests/net/front.rs
@@ -4,46 +4,49 @@
 
 impl Net {
     /// What a front's view has: who is dead, stands still or is cut off, some seconds late.
-    pub(super) fn world(&self, of: usize) -> World {
+    pub(super) fn world(&self, of: usize) -> FleetView {
         let away = |i: usize, f: &Front| {
-            let cut = self.cut.is_some_and(|h| (f.place.hall == h) != (self.fronts[of].place.hall == h));
+            let cut = self.cut.is_some_and(|h| (f.place.zone == h) != (self.fronts[of].place.zone == h));
             (!f.alive && self.now > f.since + s(4)) || self.stalled.contains_key(&i) || cut
         };
         let known = self.fronts.iter().enumerate().map(|(i, f)| {
-            let standing = if away(i, f) { Standing::Gone } else { Standing::Serves };
-            (Subject::Front(i as u64), Known { place: f.place, standing, link: 0 })
+            let standing = if away(i, f) { Availability::Dead } else { Availability::Serving };
+            (
+                Subject::Front(i as u64),
+                MemberStatus { place: f.place, availability: standing, link_kbit_s: 0 },
+            )
         });
-        World { known: known.collect(), unsure_for: Duration::ZERO }
+        FleetView { members: known.collect(), uncertain_for: Duration::ZERO }
     }
 
     pub(super) fn hears(&mut self, to: usize, said: Said) {
         let now = self.now;
         match said {
-            Said::Word(word @ (Word::Prepare { .. } | Word::Accept { .. })) => {
+            Said::Word(word @ (Message::Prepare { .. } | Message::Accept { .. })) => {
                 let Some(clerk) = &mut self.fronts[to].clerk else { return };
-                let answer = clerk.word(now, &word);
-                clerk.check().unwrap();
+                let answer = clerk.handle_message(now, &word);
+                clerk.check_invariants().unwrap();
                 self.say_words(to, answer.into_iter().collect());
             }
             Said::Word(word) => {
                 let world = self.world(to);
                 let limits = self.plan.limits.clone();
                 let asker = &mut self.fronts[to].asker;
-                let words = asker.word(now, word, Seen { world: &world, limits: &limits });
-                asker.check().unwrap();
+                let words = asker.handle_message(now, word, GrantContext { fleet: &world, limits: &limits });
+                asker.check_invariants().unwrap();
                 self.say_words(to, words);
                 self.outcome(to);
             }
             Said::Act(act) => {
                 let f = &mut self.fronts[to];
-                if f.staged.act(act).is_ok() {
+                if f.staged.handle_order(act).is_ok() {
                     f.release = act.release;
                 }
-                f.staged.check().unwrap();
+                f.staged.check_invariants().unwrap();
             }
             Said::Report(from, report) => {
-                self.fronts[to].asker.heard_of(report.fence);
-                self.fronts[to].reports.insert(from as u64, Report { heard: now, ..report });
+                self.fronts[to].asker.observe_term(report.fence);
+                self.fronts[to].reports.insert(from as u64, FrontReport { received_at: now, ..report });
             }
         }
     }
@@ -54,23 +57,26 @@
         let Some(outcome) = f.asker.take_outcome() else { return };
         if std::mem::take(&mut f.driver_asks) {
             if let Some(driver) = &mut f.driver {
-                driver.told(now, outcome);
-                driver.check(now).unwrap();
+                driver.handle_outcome(now, outcome);
+                driver.check_invariants(now).unwrap();
             }
             return;
         }
         f.not_before = now + s(1);
-        if let Outcome::Done(value, granted) = outcome {
-            value.check().unwrap();
+        if let Outcome::Committed(value, granted) = outcome {
+            value.check_invariants().unwrap();
             if let Some(r) = &value.release {
-                f.staged.heard(r);
+                f.staged.observe_release(r);
             }
             let mine = Subject::Front(i as u64);
-            match granted.filter(|g| g.id.subject == Some(mine)) {
+            match granted.filter(|g| g.lease_id.subject == Some(mine)) {
                 Some(g) => {
                     self.grants += 1;
                     f.permit = Some(g);
-                    if f.out.is_none() && g.at(now) && f.staged.go().is_some_and(|word| word != f.build) {
+                    if f.out.is_none()
+                        && g.is_valid_at(now)
+                        && f.staged.pending_restart().is_some_and(|word| word != f.build)
+                    {
                         f.out = Some(now + RESTART);
                         f.restarts += 1;
                     } else if f.out.is_none() {
@@ -86,8 +92,8 @@
     pub(super) fn front(&mut self, i: usize) {
         let now = self.now;
         let f = &mut self.fronts[i];
-        let words = f.asker.due(now);
-        f.asker.check().unwrap();
+        let words = f.asker.handle_timeout(now);
+        f.asker.check_invariants().unwrap();
         self.say_words(i, words);
         self.outcome(i);
         self.goes(i);
@@ -101,23 +107,23 @@
         let (now, place) = (self.now, self.fronts[i].place);
         let f = &mut self.fronts[i];
         if let Some(until) = f.out {
-            let holds = f.permit.is_some_and(|p| p.at(now));
+            let holds = f.permit.is_some_and(|p| p.is_valid_at(now));
             if now >= until || !holds {
-                f.build = f.staged.go().filter(|_| now >= until).unwrap_or(f.build);
+                f.build = f.staged.pending_restart().filter(|_| now >= until).unwrap_or(f.build);
                 (f.out, f.give_back) = (None, f.permit.is_some());
             }
         }
-        let goes = f.staged.go().is_some_and(|word| word != f.build);
+        let goes = f.staged.pending_restart().is_some_and(|word| word != f.build);
         f.waits = f.waits.or(Some(now)).filter(|_| goes && f.out.is_none());
         let free = !f.asker.is_busy() && now >= f.not_before;
         let subject = Subject::Front(i as u64);
         if free && f.give_back {
             // From before it is asked for it is not used any more.
             f.permit = None;
-            f.asker.ask(now, Change::GiveBack { subject });
+            f.asker.submit(now, Change::ReturnPermit { subject });
         } else if free && goes && f.out.is_none() {
             let release = Some(f.release);
-            f.asker.ask(now, Change::Grant { subject, place, lease_ms: LEASE_MS, release });
+            f.asker.submit(now, Change::Grant { subject, place, lease_ms: LEASE_MS, release });
         }
     }
 
@@ -133,14 +139,14 @@
             return;
         }
         let todo = driver.step(now, &f.reports, &world);
-        driver.check(now).unwrap();
+        driver.check_invariants(now).unwrap();
         for what in todo {
             match what {
-                Do::Ask(change) => {
-                    self.fronts[i].driver_asks = self.fronts[i].asker.ask(now, change);
+                DriverAction::Submit(change) => {
+                    self.fronts[i].driver_asks = self.fronts[i].asker.submit(now, change);
                     assert!(self.fronts[i].driver_asks);
                 }
-                Do::Act(to, act) => self.say(i, to as usize, || Said::Act(act), 0),
+                DriverAction::Send(to, act) => self.say(i, to as usize, || Said::Act(act), 0),
             }
         }
     }
@@ -150,18 +156,18 @@
         let (share, word) = (self.rng.random_range(0.0..1.0), self.fronts[i].build);
         let f = &mut self.fronts[i];
         let served = share < if word == 2 { bad } else { 0.9 };
-        f.paid = f.paid.and(Tally { asked: 1, served: u32::from(served) });
-        let report = Report {
+        f.paid = f.paid.combined_with(Tally { requested: 1, served: u32::from(served) });
+        let report = FrontReport {
             place: f.place,
-            heard: now,
-            runs: f.build,
-            staged: f.staged.staged(),
-            bad_text: false,
-            out: if f.out.is_some() { Out::Permit } else { Out::Serves },
-            goes: f.staged.go().is_some_and(|word| word != f.build),
-            waits: f.waits.map(|w| now - w),
-            failed: 0,
-            rule: false,
+            received_at: now,
+            running: f.build,
+            newest_staged: f.staged.newest_staged(),
+            staging_failed: false,
+            service_state: if f.out.is_some() { ServiceState::OutByPermit } else { ServiceState::Serving },
+            restart_pending: f.staged.pending_restart().is_some_and(|word| word != f.build),
+            permit_wait: f.waits.map(|w| now - w),
+            failed_restarts: 0,
+            rule_violated: false,
             paid: f.paid,
             fence: f.staged.fence(),
         };
@@ -170,13 +176,13 @@
 
     /// From outside: who is truly out by a permit that holds.
     pub(super) fn look(&mut self) {
-        let holds = |f: &&Front| f.permit.is_some_and(|p| p.at(self.now));
-        let out: Vec<u32> = self.fronts.iter().filter(holds).map(|f| f.place.hall).collect();
+        let holds = |f: &&Front| f.permit.is_some_and(|p| p.is_valid_at(self.now));
+        let out: Vec<u32> = self.fronts.iter().filter(holds).map(|f| f.place.zone).collect();
         let most = self.plan.limits.fronts;
         assert!(out.len() <= most.fleet.into(), "{} hold permits at {:?}", out.len(), self.now);
         for hall in 0..3 {
             let of = out.iter().filter(|h| **h == hall).count();
-            assert!(of <= most.hall.into(), "{of} of hall {hall} at {:?}", self.now);
+            assert!(of <= most.zone.into(), "{of} of hall {hall} at {:?}", self.now);
         }
         self.most_out = self.most_out.max(out.len());
     }
@@ -184,8 +190,8 @@
     /// The release, as the newest value at a witness has it.
     pub fn record(&self) -> Option<ReleaseRecord> {
         let taken = self.fronts.iter().filter_map(|f| match (&f.clerk, &f.kept) {
-            (Some(clerk), _) if f.alive => clerk.kept().taken,
-            (_, Some(kept)) => kept.taken.clone(),
+            (Some(clerk), _) if f.alive => clerk.persisted_state().accepted,
+            (_, Some(kept)) => kept.accepted.clone(),
             _ => None,
         });
         taken.max_by_key(|t| t.0)?.1.release
@@ -198,13 +204,13 @@
         while self.now < until {
             self.run(s(20));
             match self.record().map(|r| r.stage) {
-                Some(Stage::Done | Stage::TakenBack) => return true,
+                Some(Stage::Done | Stage::RolledBack) => return true,
                 Some(Stage::Halted(cause)) => {
                     self.causes.push(cause);
-                    self.operator(|d, now| d.back(now));
+                    self.operator(|d, now| d.start_rollback(now));
                 }
-                None => self.operator(|d, _| d.begin()),
-                Some(Stage::Planned) => self.operator(|d, _| d.foretold(true)),
+                None => self.operator(|d, _| d.start_release()),
+                Some(Stage::Planned) => self.operator(|d, _| d.set_forecast(true)),
                 Some(_) => {}
             }
         }
--- a/crates/out/tests/net/mod.rs
+++ b/crates/out/tests/net/mod.rs
@@ -24,9 +24,9 @@
 }
 
 enum Said {
-    Word(Word),
-    Act(Act),
-    Report(usize, Report),
+    Word(Message),
+    Act(FencedOrder),
+    Report(usize, FrontReport),
 }
 
 /// A front, and what outlives its process.
@@ -34,21 +34,21 @@
     pub place: Place,
     pub alive: bool,
     pub since: Duration,
-    pub asker: Asker,
-    pub clerk: Option<Clerk>,
-    pub kept: Option<Kept>,
-    pub staged: Staged,
+    pub asker: Proposer,
+    pub clerk: Option<Acceptor>,
+    pub kept: Option<PersistedState>,
+    pub staged: StagedConfig,
     pub driver: Option<Driver>,
     driver_asks: bool,
     pub build: u64,
-    pub permit: Option<Granted>,
+    pub permit: Option<GrantedLease>,
     /// Out until then; it comes back before if its permit ends.
     pub out: Option<Duration>,
     release: u64,
     give_back: bool,
     waits: Option<Duration>,
     not_before: Duration,
-    reports: BTreeMap<u64, Report>,
+    reports: BTreeMap<u64, FrontReport>,
     paid: Tally,
     pub restarts: u32,
 }
@@ -70,27 +70,33 @@
     sent: u64,
     lives: u64,
     pub most_out: usize,
-    pub causes: Vec<Cause>,
+    pub causes: Vec<HaltCause>,
 }
 
 pub fn plan(fleet: usize) -> Plan {
-    let most = |n: usize| Most { fleet: n as u16, hall: n.div_ceil(2) as u16, rack: n as u16 };
+    let most = |n: usize| MaxOutOfService { fleet: n as u16, zone: n.div_ceil(2) as u16, rack: n as u16 };
     let out = (fleet / 12).clamp(2, 15);
-    let limits =
-        Limits { fronts: most(out), servers: most(out), copies: 0, cells: 0, free: None, unsure_ms: 60_000 };
+    let limits = Limits {
+        fronts: most(out),
+        servers: most(out),
+        cells_per_title: 0,
+        ring_cells: 0,
+        free_link_kbit_s: None,
+        max_uncertain_ms: 60_000,
+    };
     Plan {
         number: 1,
-        what: What::Build { word: 2 },
-        before: What::Build { word: 1 },
+        target: ReleaseTarget::Build { build_id: 2 },
+        previous: ReleaseTarget::Build { build_id: 1 },
         canaries: 2,
-        waves: vec![Wave { hall: Some(0), share: 500 }, Wave { hall: None, share: 300 }],
+        waves: vec![Wave { zone: Some(0), share_permille: 500 }, Wave { zone: None, share_permille: 300 }],
         limits,
-        watch_ms: 5_000,
-        most_out: fleet as u16,
-        restarts: 3,
-        permits_ms: 600_000,
-        error_ppm: 1_000,
-        back: None,
+        observation_ms: 5_000,
+        max_out: fleet as u16,
+        max_failed_restarts: 3,
+        max_permit_wait_ms: 600_000,
+        false_halt_ppm: 1_000,
+        rollback_of: None,
     }
 }
 
@@ -100,7 +106,7 @@
             now: s(1_000),
             rng: ChaCha8Rng::seed_from_u64(seed),
             fronts: Vec::new(),
-            plan: Plan { most_out: most_out as u16, ..plan(fleet) },
+            plan: Plan { max_out: most_out as u16, ..plan(fleet) },
             witnesses,
             loss: 0.0,
             cut: None,
@@ -116,8 +122,9 @@
             causes: Vec::new(),
         };
         for i in 0..fleet {
-            let place = Place { hall: (i % 3) as u32, rack: None, cell: None };
-            let kept = (i < witnesses).then(|| Kept { sees: true, ..Kept::default() });
+            let place = Place { zone: (i % 3) as u32, rack: None, cell: None };
+            let kept =
+                (i < witnesses).then(|| PersistedState { is_current: true, ..PersistedState::default() });
             let front = net.process(i, place, 1, kept);
             net.fronts.push(front);
         }
@@ -125,21 +132,27 @@
     }
 
     /// A new process of a front.
-    fn process(&mut self, i: usize, place: Place, build: u64, kept: Option<Kept>) -> Front {
+    fn process(&mut self, i: usize, place: Place, build: u64, kept: Option<PersistedState>) -> Front {
         self.lives += 1;
         let (now, life) = (self.now, self.lives);
         let witnesses = (0..self.witnesses).map(address).collect();
-        let set = AskerSettings { me: address(i), life, witnesses, longest: LONGEST, seed: life };
+        let set = ProposerConfig {
+            address: address(i),
+            incarnation: life,
+            witnesses,
+            max_lease: LONGEST,
+            backoff_seed: life,
+        };
         let plan = self.plan.clone();
         let driver = |i| Driver::new(now, life, plan, LEASE_MS / 2, i as u32, s(6));
         Front {
             place,
             alive: true,
             since: now,
-            asker: Asker::new(set),
-            clerk: (i < self.witnesses).then(|| Clerk::new(now, address(i), life, LONGEST, kept)),
+            asker: Proposer::new(set),
+            clerk: (i < self.witnesses).then(|| Acceptor::new(now, address(i), life, LONGEST, kept)),
             kept: None,
-            staged: Staged::new(i as u64, Generation { number: 1, digest: 1 }),
+            staged: StagedConfig::new(i as u64, Generation { number: 1, digest: 1 }),
             driver: (i < DRIVERS).then(|| driver(i)),
             driver_asks: false,
             build,
@@ -158,7 +171,7 @@
     pub fn kill(&mut self, i: usize) {
         let f = &mut self.fronts[i];
         (f.alive, f.since, f.permit, f.out) = (false, self.now, None, None);
-        f.kept = f.clerk.as_ref().map(Clerk::kept);
+        f.kept = f.clerk.as_ref().map(Acceptor::persisted_state);
         self.stalled.remove(&i);
     }
 
@@ -172,7 +185,7 @@
     fn say(&mut self, from: usize, to: usize, said: impl Fn() -> Said, counts: usize) {
         self.datagrams += u64::from(counts > 0);
         self.bytes += counts as u64;
-        let halls = (self.fronts[from].place.hall, self.fronts[to].place.hall);
+        let halls = (self.fronts[from].place.zone, self.fronts[to].place.zone);
         let cut = self.cut.is_some_and(|h| (halls.0 == h) != (halls.1 == h));
         let copies = 1 + usize::from(self.loss > 0.0 && self.rng.random_bool(0.1));
         for _ in 0..copies {
@@ -186,7 +199,7 @@
         }
     }
 
-    fn say_words(&mut self, from: usize, words: Vec<(SocketAddr, Word)>) {
+    fn say_words(&mut self, from: usize, words: Vec<(SocketAddr, Message)>) {
         for (to, word) in words {
             let SocketAddr::V4(v4) = to else { continue };
             let to = usize::from(v4.ip().octets()[2]) << 8 | usize::from(v4.ip().octets()[3]);
--- a/crates/out/tests/random.rs
+++ b/crates/out/tests/random.rs
@@ -13,7 +13,7 @@
     Lapse(usize),
     Start(u64, u64, bool),
     Drive(u64, bool),
-    Step(u64, Event),
+    Step(u64, ReleaseEvent),
     Halt,
 }
 
@@ -21,13 +21,13 @@
 #[derive(Clone, Debug, Default)]
 struct Holders;
 
-fn event() -> impl Strategy<Value = Event> {
+fn event() -> impl Strategy<Value = ReleaseEvent> {
     prop_oneof![
-        Just(Event::Foretold),
-        Just(Event::Staged),
-        Just(Event::Went),
-        Just(Event::Well),
-        Just(Event::Halt(Cause::Rule))
+        Just(ReleaseEvent::ForecastAllowed),
+        Just(ReleaseEvent::Staged),
+        Just(ReleaseEvent::WaveCompleted),
+        Just(ReleaseEvent::ObservationPassed),
+        Just(ReleaseEvent::Halt(HaltCause::RuleViolation))
     ]
 }
 
@@ -68,14 +68,21 @@
 const MOST: usize = 3;
 
 impl Drawn {
-    fn change(&mut self, me: u64, change: &Change, lapsed: bool) -> Result<Applied, Denied> {
+    fn change(&mut self, me: u64, change: &Change, lapsed: bool) -> Result<Applied, DenialReason> {
         self.ask += 1;
-        let most = Most { fleet: MOST as u16, hall: MOST as u16, rack: 9 };
-        let limits = Limits { fronts: most, servers: most, copies: 0, cells: 0, free: None, unsure_ms: 1 };
-        let (world, before) = (World::default(), self.register.clone());
-        let over = before.release.filter(|_| lapsed).map(|r| r.id()).into_iter().collect();
+        let most = MaxOutOfService { fleet: MOST as u16, zone: MOST as u16, rack: 9 };
+        let limits = Limits {
+            fronts: most,
+            servers: most,
+            cells_per_title: 0,
+            ring_cells: 0,
+            free_link_kbit_s: None,
+            max_uncertain_ms: 1,
+        };
+        let (world, before) = (FleetView::default(), self.register.clone());
+        let over = before.release.filter(|_| lapsed).map(|r| r.lease_id()).into_iter().collect();
         let mut value = before.clone();
-        let seen = Seen { world: &world, limits: &limits };
+        let seen = GrantContext { fleet: &world, limits: &limits };
         let came = value.apply((me, self.ask), change, &over, seen);
         match came {
             Ok(Applied::Changed) => {
@@ -110,7 +117,7 @@
                 let came = sut.change(me, &grant, false);
                 let had = before.permits.iter().find(|p| p.subject == subject);
                 let stage = before.release.filter(|r| Some(r.number) == release).map(|r| r.stage);
-                let goes = matches!(stage, Some(Stage::Canary | Stage::Wave(_) | Stage::GoingBack));
+                let goes = matches!(stage, Some(Stage::Canary | Stage::Wave(_) | Stage::RollingBack));
                 match had {
                     Some(p) => assert_eq!(came.is_ok(), p.holder == me),
                     None => {
@@ -119,25 +126,26 @@
                 }
             }
             Cmd::GiveBack(who, me) => {
-                let change = Change::GiveBack { subject: Subject::Front(who) };
+                let change = Change::ReturnPermit { subject: Subject::Front(who) };
                 assert!(sut.change(me, &change, false).is_ok());
             }
             Cmd::Lapse(n) => {
-                let id = sut.register.permits.get(n).map(Permit::id);
-                sut.register.lapse(&id.into_iter().collect());
-                let other = Id { subject: None, holder: 0, ask: 0 };
-                sut.register.lapse(&BTreeSet::from([other]));
+                let id = sut.register.permits.get(n).map(Permit::lease_id);
+                sut.register.remove_expired(&id.into_iter().collect());
+                let other = LeaseId { subject: None, holder: 0, request_id: 0 };
+                sut.register.remove_expired(&BTreeSet::from([other]));
                 assert_eq!(sut.register.permits.len(), before.permits.len() - usize::from(id.is_some()));
             }
-            Cmd::Start(me, number, back) => {
-                let start = Change::Start { number, plan: 5, back, lease_ms: 1_000 };
+            Cmd::Start(me, number, is_rollback) => {
+                let start = Change::StartRelease { number, plan_digest: 5, is_rollback, lease_ms: 1_000 };
                 if sut.change(me, &start, false).is_ok() {
                     assert!(before.release.is_none_or(|r| r.number < number), "numbers only rise");
                     assert!(sut.fences.insert(sut.register.release.unwrap().fence), "a fence of its own");
                 }
             }
             Cmd::Drive(me, lapsed) => {
-                let came = sut.change(me, &Change::Drive { plans: [5, 6], lease_ms: 1_000 }, lapsed);
+                let came =
+                    sut.change(me, &Change::DriveRelease { plan_digests: [5, 6], lease_ms: 1_000 }, lapsed);
                 let (Ok(_), Some(r), Some(now)) = (came, before.release, sut.register.release) else {
                     return sut;
                 };
@@ -146,23 +154,23 @@
             }
             Cmd::Step(me, event) => {
                 let Some(r) = before.release else { return sut };
-                let step = Change::Step { fence: r.fence, from: r.stage, event, waves: 2 };
+                let step = Change::AdvanceRelease { fence: r.fence, from: r.stage, event, last_wave: 2 };
                 let came = sut.change(me, &step, false);
-                let to = next(r.stage, event, 2);
+                let to = next_stage(r.stage, event, 2);
                 assert_eq!(came.is_ok(), r.driver == me && to.is_some());
                 let now = sut.register.release.unwrap().stage;
                 assert_eq!(now, to.filter(|_| came.is_ok()).unwrap_or(r.stage));
             }
             Cmd::Halt => {
                 let number = before.release.map_or(0, |r| r.number);
-                let _ = sut.change(9, &Change::Halt { number, cause: Cause::Operator }, false);
+                let _ = sut.change(9, &Change::HaltRelease { number, cause: HaltCause::Operator }, false);
             }
         }
         sut
     }
 
     fn check_invariants(sut: &Drawn, _: &Holders) {
-        sut.register.check().unwrap();
+        sut.register.check_invariants().unwrap();
         assert!(sut.register.permits.len() <= MOST);
     }
 }
--- a/crates/out/tests/staged.rs
+++ b/crates/out/tests/staged.rs
@@ -36,8 +36,8 @@
         let g = || (1u64..14).prop_map(generation);
         let order = prop_oneof![
             3 => g().prop_map(Order::Stage),
-            3 => g().prop_map(Order::Take),
-            1 => (1u64..4).prop_map(|word| Order::Go { word }),
+            3 => g().prop_map(Order::Activate),
+            1 => (1u64..4).prop_map(|build_id| Order::Restart { build_id }),
             1 => Just(Order::Hold),
         ];
         prop_oneof![
@@ -58,7 +58,7 @@
 }
 
 struct Drawn {
-    staged: Staged,
+    staged: StagedConfig,
     sessions: Vec<Generation>,
 }
 
@@ -67,7 +67,7 @@
     type Reference = Plain;
 
     fn init_test(_: &Plain) -> Drawn {
-        Drawn { staged: Staged::new(1, generation(1)), sessions: Vec::new() }
+        Drawn { staged: StagedConfig::new(1, generation(1)), sessions: Vec::new() }
     }
 
     fn apply(mut sut: Drawn, _: &Plain, cmd: Cmd) -> Drawn {
@@ -75,42 +75,55 @@
         let at_boundary = matches!(cmd, Cmd::Boundary);
         match cmd {
             Cmd::Order(fence, release, order) => {
-                let came = sut.staged.act(Act { fence: Term(fence), release, order });
+                let came = sut.staged.handle_order(FencedOrder { fence: Term(fence), release, order });
                 assert!(came.is_err() || Term(fence) >= before.fence(), "an older fence is refused for good");
                 if came.is_err() {
                     // But for texts that nobody can come to use any more.
-                    assert_eq!((sut.staged.fence(), sut.staged.go()), (before.fence(), before.go()));
+                    assert_eq!(
+                        (sut.staged.fence(), sut.staged.pending_restart()),
+                        (before.fence(), before.pending_restart())
+                    );
                 }
-                if let (Order::Take(g), Ok(())) = (order, came) {
-                    assert!(before.keeps(g), "only what is checked is taken");
+                if let (Order::Activate(g), Ok(())) = (order, came) {
+                    assert!(before.has_text(g), "only what is checked is taken");
                 }
             }
             Cmd::Text(number, off, good) => {
-                let staged = sut.staged.text(number, number * 10 + off.saturating_sub(6), good);
-                assert!(!staged || sut.staged.keeps(generation(number)));
+                let staged = sut.staged.receive_text(number, number * 10 + off.saturating_sub(6), good);
+                assert!(!staged || sut.staged.has_text(generation(number)));
+            }
+            Cmd::Boundary => drop(sut.staged.activate_pending()),
+            Cmd::Begins => sut.sessions.extend(sut.staged.start_session()),
+            Cmd::Ends(n) if n < sut.sessions.len() => {
+                sut.staged.end_session(sut.sessions.swap_remove(n).number)
             }
-            Cmd::Boundary => drop(sut.staged.boundary()),
-            Cmd::Begins => sut.sessions.extend(sut.staged.begins()),
-            Cmd::Ends(n) if n < sut.sessions.len() => sut.staged.ends(sut.sessions.swap_remove(n).number),
             Cmd::Ends(_) => {}
             Cmd::CameBack(fence, number) => {
-                let _ = sut.staged.came_back(Term(fence), 1, generation(number));
+                let _ = sut.staged.catch_up(Term(fence), 1, generation(number));
             }
             Cmd::Heard(fence) => {
                 let (stage, fence) = (Stage::Canary, Term(fence));
-                let r = ReleaseRecord { number: 1, plan: 1, stage, driver: 1, fence, lease_ms: 1, ask: 1 };
-                sut.staged.heard(&r);
+                let r = ReleaseRecord {
+                    number: 1,
+                    plan_digest: 1,
+                    stage,
+                    driver: 1,
+                    fence,
+                    lease_ms: 1,
+                    request_id: 1,
+                };
+                sut.staged.observe_release(&r);
             }
         }
         assert!(sut.staged.fence() >= before.fence(), "a fence never falls");
-        assert!(sut.staged.now().number >= before.now().number, "a generation never falls");
-        assert!(at_boundary || sut.staged.now() == before.now(), "taken at a boundary alone");
+        assert!(sut.staged.active().number >= before.active().number, "a generation never falls");
+        assert!(at_boundary || sut.staged.active() == before.active(), "taken at a boundary alone");
         sut
     }
 
     fn check_invariants(sut: &Drawn, _: &Plain) {
-        sut.staged.check().unwrap();
-        assert!(sut.sessions.iter().all(|g| sut.staged.keeps(*g)), "a session keeps its generation");
+        sut.staged.check_invariants().unwrap();
+        assert!(sut.sessions.iter().all(|g| sut.staged.has_text(*g)), "a session keeps its generation");
     }
 }
 
