--- a/crates/cli/tests/node_room.rs
+++ b/crates/cli/tests/node_descriptors.rs
@@ -1,16 +1,16 @@
 //! Room: descriptors of `cloverhollow node`, filled on purpose, with the system's own limit at what it is told it has.
 
+#[path = "platform/line_server.rs"]
+mod line_server;
 mod platform;
-#[path = "platform/wire.rs"]
-mod wire;
 
+use line_server::stand_still;
 use platform::{
     config, descriptors, endpoint, event, head, setup, start_with_descriptors, tell, until, Channel, Server,
 };
 use rustix::process::Signal;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
-use wire::stand_still;
 
 const TEST: &[u8] = b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
 const SOCKETS: u32 = 256;
--- a/crates/cli/tests/node_identity.rs
+++ b/crates/cli/tests/node_identity.rs
@@ -1,12 +1,12 @@
 //! `cloverhollow node` and servers that leave the list and come back, restart, move or are renamed while they run: what
 //! such a process says on any of its connections counts for the session, and what it is owed reaches it.
 
-#[path = "platform/listed.rs"]
-mod listed;
 mod platform;
+#[path = "platform/server_list.rs"]
+mod server_list;
 
-use listed::{assert_plays_on, assert_released, settle, tag, Listed};
 use platform::{endpoint, message, setup, until, Server};
+use server_list::{assert_plays_on, assert_released, settle, tag, Listed};
 use std::io::Write;
 use std::time::Duration;
 
--- a/crates/cli/tests/node_overtaking.rs
+++ b/crates/cli/tests/node_overtaking.rs
@@ -1,14 +1,14 @@
 //! `cloverhollow node` and words of servers that come in another order than they were meant: before the answer, before the
 //! session is handed over, on another connection, behind its close, or twice.
 
-#[path = "platform/listed.rs"]
-mod listed;
 mod platform;
+#[path = "platform/server_list.rs"]
+mod server_list;
 
-use listed::{assert_plays_on, assert_released, assert_released_within, settle, stand, tag, Listed};
-use listed::{HANDED_OVER_SLACK, RELEASED_WITHIN};
 use platform::{config, message, reset, setup, start, until, Channel, Server};
 use serde_json::{json, Value};
+use server_list::{assert_plays_on, assert_released, assert_released_within, settle, stand, tag, Listed};
+use server_list::{HANDED_OVER_SLACK, RELEASED_WITHIN};
 use std::io::Write;
 use std::time::Duration;
 
--- a/crates/cli/tests/node_viewers.rs
+++ b/crates/cli/tests/node_viewers.rs
@@ -1,17 +1,17 @@
 //! The viewers' side of `cloverhollow node`: who closes, cancels or does not read, in each instant in which something is
 //! owed. The process stands still (SIGSTOP) while both sides of a crossing are put on its sockets.
 
+#[path = "platform/line_server.rs"]
+mod line_server;
 mod platform;
-#[path = "platform/wire.rs"]
-mod wire;
 
+use line_server::{arrived, say, stand_still, started, Wire};
 use platform::{config, head, message, reset, setup, start, teardown, until, Channel, Node, LONG};
 use rustix::process::Signal;
 use serde_json::json;
 use std::io::Write;
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
-use wire::{arrived, say, stand_still, started, Wire};
 
 fn id(n: u64) -> String {
     format!("{n:016x}")
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -4,13 +4,13 @@
 
 #[path = "../common/mod.rs"]
 mod common;
-mod standins;
+mod fakes;
 
 #[allow(unused_imports)] // each test file uses a part
 pub use common::{folder, ready, Life, LONG};
+pub use fakes::*;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
-pub use standins::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
