--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A front as a process: starts, says where it listens, runs until it is told to stop.
+//! A front as a process: starts it, reports its addresses and runs it until a signal or an operator stops it.
 
 use cloverhollow::Brain;
 use cloverhollow_front::{Front, Leave, StartError};
@@ -9,18 +9,18 @@
 use std::sync::Arc;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a front is started with.
+/// Command-line options of a front process.
 #[derive(Clone, Debug)]
 pub struct Serve {
-    /// The file of settings.
+    /// Path of the settings file (YAML).
     pub config: PathBuf,
-    /// Where each step is recorded, if anywhere.
+    /// Directory in which each step of the session core is recorded; `None` records nothing.
     pub record: Option<PathBuf>,
 }
 
-/// Why a front did not start, or not go on.
+/// Reason for which a front did not start or ended early.
 #[derive(Debug, thiserror::Error)]
-#[allow(missing_docs)] // the messages say it
+#[allow(missing_docs)] // the error messages describe the variants
 pub enum ServeError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -28,12 +28,12 @@
     Start(#[from] StartError),
     #[error("--record {dir}: {source}")]
     Record { dir: String, source: std::io::Error },
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signal(std::io::Error),
 }
 
 impl ServeError {
-    /// The process's exit code: 2 for settings, 1 for the rest.
+    /// Exit code of the process: 2 for invalid settings or keys, 1 for all other errors.
     pub fn code(&self) -> u8 {
         match self {
             ServeError::Settings(_) | ServeError::Start(StartError::Key { .. }) => 2,
@@ -42,28 +42,34 @@
     }
 }
 
-fn recorder(dir: &Path, settings: &FrontSettings, text: String, seed: u64) -> Result<Tap, ServeError> {
+fn start_recording(
+    dir: &Path,
+    settings: &FrontSettings,
+    settings_text: String,
+    seed: u64,
+) -> Result<Tap, ServeError> {
     let name = settings.instance.name.as_str();
-    let begun = Recorder::begin(dir, name, text, seed);
+    let begun = Recorder::begin(dir, name, settings_text, seed);
     let mut recorder =
         begun.map_err(|source| ServeError::Record { dir: dir.display().to_string(), source })?;
     tracing::info!(file = %recorder.path.display(), "recording");
-    let mut on = true;
+    let mut active = true;
     Ok(Box::new(move |now, events, actions| {
-        if on && !recorder.step(now, events, actions) {
-            on = false;
-            tracing::warn!("record ended: its writer is behind or its disk full");
+        if active && !recorder.step(now, events, actions) {
+            active = false;
+            tracing::warn!("recording stopped: the writer lags behind or the disk is full");
         }
     }))
 }
 
-/// Runs a front until SIGINT or SIGTERM. `policy` makes whoever decides from
-/// settings and seed.
+/// Runs a front until SIGINT, SIGTERM or a granted request to leave at the side address. `policy` builds the decision
+/// module from settings and seed.
 ///
-/// Once it listens it writes one JSON line to standard output: `address`, and `side` and `members` where it has them.
+/// Once the front listens, one JSON line goes to standard output with its `address` and, where configured, `side` and
+/// `members`.
 ///
 /// # Errors
-/// It did not start.
+/// The front did not start.
 pub async fn serve<P: Policy + 'static>(
     serve: &Serve,
     policy: impl FnOnce(&FrontSettings, u64) -> P,
@@ -79,43 +85,50 @@
             let file = serve.config.display().to_string();
             let text = std::fs::read_to_string(&serve.config)
                 .map_err(|source| SettingsError::Unreadable { file, source })?;
-            Some(recorder(dir, &settings, text, seed)?)
+            Some(start_recording(dir, &settings, text, seed)?)
         }
     };
-    let mut term = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
-    let mut int = signal(SignalKind::interrupt()).map_err(ServeError::Signal)?;
+    let mut sigterm = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
+    let mut sigint = signal(SignalKind::interrupt()).map_err(ServeError::Signal)?;
     let front = Front::start(settings.clone(), policy(&settings, seed), tap).await?;
     let side = front.side.map(|a| a.to_string());
     let members = front.members.map(|a| a.to_string());
     let ready = serde_json::json!({ "address": front.address.to_string(), "side": side, "members": members });
     println!("{ready}");
-    until_it_may_stop(&front, &settings, &mut term, &mut int).await;
+    wait_for_shutdown(&front, &settings, &mut sigterm, &mut sigint).await;
     tracing::info!("stopping");
     front.stop().await;
     Ok(())
 }
 
-/// Serves on until it may stop: told by a signal it waits for its permit, `out.wait_ms` at most, and asked at the side
-/// address it goes with a permit or not at all. A second signal is obeyed at once.
-async fn until_it_may_stop(front: &Front, settings: &FrontSettings, term: &mut Signal, int: &mut Signal) {
+/// Keeps the front serving until it may stop.
+///
+/// After a signal it waits at most `out.wait_ms` for a permit and then stops with or without one. After a request at
+/// the side address it stops only with a permit. A second signal stops it at once.
+async fn wait_for_shutdown(
+    front: &Front,
+    settings: &FrontSettings,
+    sigterm: &mut Signal,
+    sigint: &mut Signal,
+) {
     let (name, wait) = (settings.instance.name.as_str(), settings.out.wait_ms.get());
-    let mut told = false;
+    let mut signalled = false;
     loop {
-        if !told {
+        if !signalled {
             tokio::select! {
-                _ = term.recv() => told = true,
-                _ = int.recv() => told = true,
+                _ = sigterm.recv() => signalled = true,
+                _ = sigint.recv() => signalled = true,
                 () = front.asked_out() => {}
             }
         }
-        let left = tokio::select! {
-            left = front.leave_when_allowed(wait) => Some(left),
-            _ = term.recv() => None,
-            _ = int.recv() => None,
+        let permission = tokio::select! {
+            permission = front.leave_when_allowed(wait) => Some(permission),
+            _ = sigterm.recv() => None,
+            _ = sigint.recv() => None,
         };
-        match left {
+        match permission {
             Some(Leave::Off | Leave::Permit) => return,
-            Some(Leave::Without) if told => {
+            Some(Leave::Without) if signalled => {
                 let (reason, waited_ms) = (front.why_not(), wait.as_millis() as u64);
                 tracing::warn!(member = name, reason, waited_ms, "goes out without a permit");
                 return;
@@ -125,22 +138,22 @@
                 tracing::warn!(member = name, reason, "was asked to go out and stays: no permit in time");
                 front.stay();
             }
-            None if told => {
+            None if signalled => {
                 tracing::warn!(member = name, reason = "told a second time", "goes out without a permit");
                 return;
             }
-            // It was asked to go when it may, and is now told to stop.
-            None => told = true,
+            // First signal while a request from the side address waits for its permit.
+            None => signalled = true,
         }
     }
 }
 
 impl Serve {
-    /// Runs a front that the decision module decides for.
+    /// Runs a front with the decision module of crate `cloverhollow`.
     ///
     /// # Errors
     /// As [`serve`].
-    pub async fn with_brain(&self) -> Result<(), ServeError> {
+    pub async fn run(&self) -> Result<(), ServeError> {
         serve(self, |settings, seed| Brain::new(settings.decisions(), seed)).await
     }
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `cloverhollow fleet`: what a running front says of the other fronts, at its side address.
+//! `cloverhollow fleet`: queries a running front, at its side address, for the members and permits it knows.
 
 use bytes::Bytes;
 use clap::{Args, Subcommand};
@@ -7,122 +7,126 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for the front's answer.
-const WITHIN: Duration = Duration::from_secs(5);
-/// Longest page.
-const MOST: usize = 16 * 1024 * 1024;
+/// Time limit for a request to the front.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum length of a response body.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Asks a front.
+/// Queries a running front about its fleet.
 #[derive(Args)]
-pub struct Fleet {
+pub struct FleetCommand {
     #[command(subcommand)]
-    what: What,
-    /// Its side address.
+    query: Query,
+    /// Side address of the front.
     #[arg(long, global = true, default_value = "127.0.0.1:8081")]
     side: SocketAddr,
-    /// One JSON object, as the front tells it.
+    /// Prints the front's JSON unchanged.
     #[arg(long, global = true)]
     json: bool,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// How many are there, at least and at most, what the decisions reckon with, and who may be out.
+enum Query {
+    /// Bounds on the number of members, the count that decisions use, and who may be out of service.
     Status,
-    /// Asks the front to go out as soon as it may: it serves on meanwhile, and stays where it gets no permit.
+    /// Asks the front to leave service once it holds a permit; it keeps serving until then, and stays if it gets none.
     Out,
-    /// All members, one a line.
+    /// Lists all members, one per line.
     Members,
-    /// Why one member is seen as it is.
+    /// Explains the state in which one member is seen.
     Why {
-        /// Its name or address.
+        /// Name or address of the member.
         member: String,
     },
 }
 
-/// Why there is no answer.
+/// Error of a fleet query.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// It can't be asked.
-    #[error("{side}: {what}")]
-    Asked {
-        /// Where.
+    /// The request to the front failed.
+    #[error("{side}: {reason}")]
+    Request {
+        /// Side address of the front.
         side: SocketAddr,
-        /// What went wrong.
-        what: String,
+        /// Description of the failure.
+        reason: String,
     },
-    /// Nobody of that name.
+    /// The front knows no member of this name or address.
     #[error("no member `{0}`")]
-    Nobody(String),
+    UnknownMember(String),
 }
 
 impl FleetError {
-    /// The command's exit code.
+    /// Exit code of the command: 2 for an unknown member, 1 for a failed request.
     pub fn code(&self) -> u8 {
         match self {
-            FleetError::Asked { .. } => 1,
-            FleetError::Nobody(_) => 2,
+            FleetError::Request { .. } => 1,
+            FleetError::UnknownMember(_) => 2,
         }
     }
 }
 
-fn text(v: &Value) -> String {
-    match v {
-        Value::String(s) => s.clone(),
+fn text(value: &Value) -> String {
+    match value {
+        Value::String(text) => text.clone(),
         Value::Null => "-".into(),
-        v => v.to_string(),
+        other => other.to_string(),
     }
 }
 
-fn line(m: &Value) -> String {
+fn member_row(member: &Value) -> String {
     let columns = ["name", "hall", "address", "sure", "since_ms", "heard_ms", "life"];
-    columns.map(|c| text(&m[c])).join("\t")
+    columns.map(|c| text(&member[c])).join("\t")
 }
 
-impl Fleet {
-    /// Asks and prints.
+impl FleetCommand {
+    /// Sends the query and prints the result.
     ///
     /// # Errors
-    /// The front can't be asked, or knows nobody of that name.
+    /// The request failed, or the front knows no member of that name.
     pub async fn run(self) -> Result<(), FleetError> {
-        let asked = async {
-            match self.what {
-                What::Out => go_out(self.side).await,
-                _ => ask(self.side).await,
+        let request = async {
+            match self.query {
+                Query::Out => request_leave(self.side).await,
+                _ => fetch_fleet(self.side).await,
             }
         };
-        let page = tokio::time::timeout(WITHIN, asked).await;
-        let page = page.unwrap_or_else(|_| Err("no answer in time".into()));
-        let page = page.map_err(|what| FleetError::Asked { side: self.side, what })?;
+        let page = tokio::time::timeout(REQUEST_TIMEOUT, request).await;
+        let page = page.unwrap_or_else(|_| Err("no response in time".into()));
+        let page = page.map_err(|reason| FleetError::Request { side: self.side, reason })?;
         let members = page["members"].as_array().cloned().unwrap_or_default();
-        match self.what {
-            What::Status if self.json => {
+        match self.query {
+            Query::Status if self.json => {
                 let mut page = page;
                 page.as_object_mut().map(|p| p.remove("members"));
                 println!("{page}");
             }
-            What::Status => status(&page),
-            What::Out if self.json => println!("{page}"),
-            What::Out => println!("asked: it goes out once it holds a permit; see `fleet status`"),
-            What::Members if self.json => println!("{}", page["members"]),
-            What::Members => {
+            Query::Status => print_status(&page),
+            Query::Out if self.json => println!("{page}"),
+            Query::Out => println!("asked: it goes out once it holds a permit; see `fleet status`"),
+            Query::Members if self.json => println!("{}", page["members"]),
+            Query::Members => {
                 println!("name\thall\taddress\tsure\tsince_ms\theard_ms\tlife");
-                members.iter().for_each(|m| println!("{}", line(m)));
+                members.iter().for_each(|m| println!("{}", member_row(m)));
             }
-            What::Why { member } => {
+            Query::Why { member } => {
                 let found = members.iter().find(|m| m["name"] == *member || m["address"] == *member);
-                let m = found.ok_or(FleetError::Nobody(member))?;
+                let member = found.ok_or(FleetError::UnknownMember(member))?;
                 if self.json {
-                    println!("{m}");
+                    println!("{member}");
                 } else {
                     println!(
                         "{}: {} for {} ms: {}",
-                        text(&m["name"]),
-                        text(&m["sure"]),
-                        m["since_ms"],
-                        text(&m["why"])
+                        text(&member["name"]),
+                        text(&member["sure"]),
+                        member["since_ms"],
+                        text(&member["why"])
+                    );
+                    println!(
+                        "last heard here {} ms ago; life {}",
+                        text(&member["heard_ms"]),
+                        text(&member["life"])
                     );
-                    println!("last heard here {} ms ago; life {}", text(&m["heard_ms"]), text(&m["life"]));
                 }
             }
         }
@@ -130,7 +134,7 @@
     }
 }
 
-fn status(page: &Value) {
+fn print_status(page: &Value) {
     let (me, view, count) = (&page["me"], &page["view"], &page["count"]);
     println!(
         "{} at {}, hall {}, life {}",
@@ -141,72 +145,77 @@
     );
     println!("members: {} at least, {} at most (view {})", view["at_least"], view["at_most"], view["number"]);
     match (&count["asked_for"], &count["in_force"]) {
-        (Value::Bool(true), Value::Null) => println!("count: none in force, so no part of cold servers"),
-        (Value::Bool(true), n) => println!("count: {n} fronts at the most, for {} ms", count["for_ms"]),
+        (Value::Bool(true), Value::Null) => println!("count: none in force, so no share of cold servers"),
+        (Value::Bool(true), n) => println!("count: at most {n} fronts, for {} ms", count["for_ms"]),
         _ => println!("count: not asked for; instance.fronts holds"),
     }
     if let Value::Number(n) = &page["witness"] {
         println!("witness: {n} processes hold a lease here");
     }
     if let Value::String(other) = &page["stepped_back"] {
-        println!("stepped back: a younger process of this name is at {other}");
+        println!("stepped back: a newer process of this name runs at {other}");
     }
-    permits(&page["out"]);
-    let d = &page["datagrams"];
+    print_permits(&page["out"]);
+    let datagrams = &page["datagrams"];
     println!(
         "datagrams: {} taken, {} sent ({} bytes), refused {}",
-        d["taken"], d["sent"], d["sent_bytes"], d["refused"]
+        datagrams["taken"], datagrams["sent"], datagrams["sent_bytes"], datagrams["refused"]
     );
 }
 
-/// Who may be out, and who is.
-fn permits(out: &Value) {
+/// Prints the permits to be out of service and the members that count as out.
+fn print_permits(out: &Value) {
     if out.is_null() {
         return println!("permits: off (out.fleet is 0)");
     }
     println!("permits: {} of the fleet, {} of a hall may be out at once", out["fleet"], out["hall"]);
     match &out["register"] {
-        Value::Null => println!("register: not heard of yet"),
-        r => println!("register: term {}, heard {} ms ago", r["term"], r["heard_ms"]),
+        Value::Null => println!("register: no state received yet"),
+        register => println!("register: term {}, heard {} ms ago", register["term"], register["heard_ms"]),
     }
-    let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
-    for p in list(&out["register"]["permits"]) {
-        println!("permit: {} in term {}, for {} ms at the most", text(&p["name"]), p["term"], p["lease_ms"]);
+    let list = |value: &Value| value.as_array().cloned().unwrap_or_default();
+    for permit in list(&out["register"]["permits"]) {
+        println!(
+            "permit: {} in term {}, for at most {} ms",
+            text(&permit["name"]),
+            permit["term"],
+            permit["lease_ms"]
+        );
     }
-    for o in list(&out["counted_out"]) {
-        println!("counts as out: {} ({})", text(&o["name"]), text(&o["why"]));
+    for member in list(&out["counted_out"]) {
+        println!("counts as out: {} ({})", text(&member["name"]), text(&member["why"]));
     }
     match &out["unsure_ms"] {
         Value::Null => println!("view: not sure yet, so no permit"),
         ms => println!("view: sure {ms} ms ago"),
     }
-    if let Value::String(sight) = &out["witness"] {
-        println!("witness of permits: {sight}");
+    if let Value::String(state) = &out["witness"] {
+        println!("witness of permits: {state}");
     }
     if out["wanted"] == true {
-        let held = if out["held"] == true { "holds its permit" } else { "waits for its permit" };
-        println!("told to go out: {held} ({})", text(&out["reason"]));
+        let progress = if out["held"] == true { "holds its permit" } else { "waits for its permit" };
+        println!("told to go out: {progress} ({})", text(&out["reason"]));
     }
 }
 
-async fn ask(side: SocketAddr) -> Result<Value, String> {
-    let target = Target::parse(Bytes::from_static(b"/v1/fleet")).ok_or("no path")?;
+async fn fetch_fleet(side: SocketAddr) -> Result<Value, String> {
+    let target = Target::parse(Bytes::from_static(b"/v1/fleet")).ok_or("invalid path")?;
     exchange(side, RequestHead::get(target), "this front is no member (members.listen is not set)").await
 }
 
-async fn go_out(side: SocketAddr) -> Result<Value, String> {
-    let target = Target::parse(Bytes::from_static(b"/v1/out")).ok_or("no path")?;
+async fn request_leave(side: SocketAddr) -> Result<Value, String> {
+    let target = Target::parse(Bytes::from_static(b"/v1/out")).ok_or("invalid path")?;
     exchange(side, RequestHead::post(target, 0), "this front asks for no permits (out.fleet is 0)").await
 }
 
-async fn exchange(side: SocketAddr, mut head: RequestHead, off: &str) -> Result<Value, String> {
+async fn exchange(side: SocketAddr, mut head: RequestHead, not_found: &str) -> Result<Value, String> {
     let mut conn = cloverhollow_net::connect(side).await.map_err(|e| e.to_string())?;
     head.headers.push("host", side.to_string());
-    let (head, body) = conn.exchange(head, Bytes::new(), MOST).await.map_err(|e| e.to_string())?;
+    let (head, body) = conn.exchange(head, Bytes::new(), MAX_BODY_BYTES).await.map_err(|e| e.to_string())?;
     match head.status {
         200 | 202 => {}
-        404 => return Err(off.into()),
-        status => return Err(format!("status {status}")),
+        404 => return Err(not_found.into()),
+        status => return Err(format!("unexpected status {status}")),
     }
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the command `cloverhollow` and the laboratory's fronts share: logs, and a front as a process.
+//! Parts shared by the command `cloverhollow` and the fronts of crate `lab`: log options and a front as a process.
 
 mod daemon;
 mod logs;
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -3,33 +3,33 @@
 use clap::{Args, ValueEnum};
 use tracing_subscriber::EnvFilter;
 
-/// How a line of log looks.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum LogForm {
-    /// For reading.
+    /// Plain text for people.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged, and how.
+/// Command-line options for the log: format and filter.
 #[derive(Clone, Debug, Args)]
 pub struct Logs {
-    /// Form of the log lines.
+    /// Format of the log lines.
     #[arg(long, value_enum, default_value_t)]
     pub log: LogForm,
-    /// What is logged: a level, or targets with levels as `cloverhollow_front=debug,warn`.
+    /// Log filter: a level, or targets with levels such as `cloverhollow_front=debug,warn`.
     #[arg(long, default_value = "info")]
     pub log_level: String,
 }
 
 impl Logs {
-    /// Starts logging; a level that cannot be read counts as `info`.
+    /// Installs the global log subscriber. A filter that cannot be parsed counts as `info`.
     pub fn start(&self) {
         let filter = EnvFilter::try_new(&self.log_level).unwrap_or_else(|_| EnvFilter::new("info"));
         let base = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-        // A second start, as in tests, changes nothing.
+        // Fails without effect when a subscriber is already installed, as in tests.
         let _ = match self.log {
             LogForm::Text => base.with_ansi(false).try_init(),
             LogForm::Json => base.json().flatten_event(true).try_init(),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `cloverhollow`.
+//! The command `cloverhollow`: argument parsing, runtimes and exit codes.
 
 mod fleet;
 
@@ -20,34 +20,34 @@
 enum Command {
     /// Runs a front until SIGINT or SIGTERM.
     Serve {
-        /// The file of settings (YAML).
+        /// Settings file (YAML).
         #[arg(long)]
         config: PathBuf,
-        /// Keeps each step's events and actions in a file of this folder.
+        /// Records the events and actions of each step in a file in this directory.
         #[arg(long)]
         record: Option<PathBuf>,
         #[command(flatten)]
         logs: Logs,
     },
-    /// Runs a session manager of the platform: `NODE_CONFIG` names the file that says all else.
+    /// Runs a session manager of the platform; `NODE_CONFIG` names its configuration file.
     Node {
-        /// The configuration's file (JSON).
+        /// Configuration file (JSON).
         #[arg(long, env = "NODE_CONFIG")]
         config: PathBuf,
         #[command(flatten)]
         logs: Logs,
     },
-    /// Checks a file of settings; exits 2 with file, line, field and range of the first fault.
+    /// Checks a settings file; exits 2 with file, line, field and valid range of the first error.
     Check {
-        /// The file of settings (YAML).
+        /// Settings file (YAML).
         #[arg(long)]
         config: PathBuf,
     },
-    /// Says who a running front thinks is there, and how many at the most.
-    Fleet(fleet::Fleet),
-    /// Runs a record through the decision module; exits 1 where the actions come out otherwise.
+    /// Shows which members a running front knows, bounds on their number, and its permits.
+    Fleet(fleet::FleetCommand),
+    /// Replays a recording through the decision module; exits 1 if the actions differ.
     Replay {
-        /// A file that `serve --record` wrote.
+        /// Recording written by `serve --record`.
         record: PathBuf,
     },
 }
@@ -60,7 +60,7 @@
                 Ok(runtime) => runtime,
                 Err(e) => return fail(&e, 1),
             };
-            match runtime.block_on(Serve { config, record }.with_brain()) {
+            match runtime.block_on(Serve { config, record }.run()) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => fail(&e, e.code()),
             }
@@ -77,19 +77,19 @@
             }
         }
         Command::Check { config } => match FrontSettings::load(&config) {
-            Ok(s) => {
-                let (classes, rungs) = (s.classes.0.len(), s.ladder.0.len());
+            Ok(settings) => {
+                let (classes, rungs) = (settings.classes.0.len(), settings.ladder.0.len());
                 println!("{}: good; {classes} classes, {rungs} rungs", config.display());
                 ExitCode::SUCCESS
             }
             Err(e) => fail(&e, 2),
         },
-        Command::Fleet(ask) => {
+        Command::Fleet(command) => {
             let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
                 Ok(runtime) => runtime,
                 Err(e) => return fail(&e, 1),
             };
-            match runtime.block_on(ask.run()) {
+            match runtime.block_on(command.run()) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => fail(&e, e.code()),
             }
@@ -104,21 +104,21 @@
 }
 
 fn replay(path: &std::path::Path) -> ExitCode {
-    let found = match cloverhollow_record::replay(path) {
-        Ok(found) => found,
+    let report = match cloverhollow_record::replay(path) {
+        Ok(report) => report,
         Err(e) => return fail(&e, 2),
     };
-    let cut = if found.cut { "; the file is cut inside its last step" } else { "" };
-    println!("{} steps, {} events, {} actions{cut}", found.steps, found.events, found.actions);
-    match found.difference {
+    let truncated = if report.cut { "; the file is truncated inside its last step" } else { "" };
+    println!("{} steps, {} events, {} actions{truncated}", report.steps, report.events, report.actions);
+    match report.difference {
         None => {
             println!("the same actions came out");
             ExitCode::SUCCESS
         }
-        Some(d) => {
+        Some(difference) => {
             println!(
-                "step {} came out otherwise\n  recorded {:?}\n  came     {:?}",
-                d.step, d.recorded, d.came
+                "step {} produced other actions\n  recorded {:?}\n  replayed {:?}",
+                difference.step, difference.recorded, difference.came
             );
             ExitCode::FAILURE
         }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Fronts as processes, with a scripted server and discovery.
-#![allow(dead_code)] // each test file uses a part
+//! Runs fronts as child processes against a fake video server and a fake discovery service.
+#![allow(dead_code)] // each test binary uses a subset
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,16 +8,20 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-pub const LONG: Duration = Duration::from_secs(20);
+/// Time limit for everything that these tests wait for.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the server saw.
+/// Event observed by the fake video server.
 #[derive(Debug, PartialEq)]
-pub enum Saw {
+pub enum ServerEvent {
+    /// A set-up for this session id arrived.
     Setup(String),
+    /// The connection of the held set-up was closed.
     Closed,
 }
 
-pub fn head_of(stream: &mut TcpStream) -> Option<String> {
+/// Reads a request head; `None` if the connection ends before the empty line.
+pub fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
     let mut head = String::new();
     while let Some(Ok(line)) = lines.next() {
@@ -29,25 +33,25 @@
     None
 }
 
-/// Holds the first set-up until its connection closes, answers all others at once.
-pub fn server(saw: Sender<Saw>) -> SocketAddr {
+/// Starts a video server that never answers the first set-up and answers all others at once.
+pub fn start_server(events: Sender<ServerEvent>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let mut first = true;
         for stream in listener.incoming() {
-            let (mut stream, saw, hold) = (stream.unwrap(), saw.clone(), std::mem::take(&mut first));
+            let (mut stream, events, hold) = (stream.unwrap(), events.clone(), std::mem::take(&mut first));
             std::thread::spawn(move || {
-                let Some(head) = head_of(&mut stream) else { return };
+                let Some(head) = read_head(&mut stream) else { return };
                 if head.starts_with("POST") {
                     let _ = stream.write_all(b"HTTP/1.1 204 No Content\r\nconnection: close\r\n\r\n");
                     return;
                 }
                 let sid = head.split("sid=\"").nth(1).and_then(|s| s.split('"').next()).unwrap_or_default();
-                let _ = saw.send(Saw::Setup(sid.into()));
+                let _ = events.send(ServerEvent::Setup(sid.into()));
                 if hold {
                     let _ = stream.read(&mut [0; 1]);
-                    let _ = saw.send(Saw::Closed);
+                    let _ = events.send(ServerEvent::Closed);
                     return;
                 }
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nplay");
@@ -58,14 +62,15 @@
     address
 }
 
-pub fn discovery(server: SocketAddr) -> SocketAddr {
+/// Starts a discovery service that lists this server as serving and then stays silent.
+pub fn start_discovery(server: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             std::thread::spawn(move || {
-                let _ = head_of(&mut stream);
+                let _ = read_head(&mut stream);
                 let list = format!(
                     "data: {{\"kind\":\"whole\",\"version\":1,\"servers\":[{{\"id\":1,\"address\":\"{server}\",\"state\":\"serving\",\"incarnation\":1}}]}}\n\n"
                 );
@@ -77,23 +82,23 @@
     address
 }
 
-/// A front's process: ended with the test, however that ends.
-pub struct Life(Child);
+/// Child process that is killed when the test ends, also by a panic.
+pub struct ProcessGuard(Child);
 
-impl From<Child> for Life {
-    fn from(child: Child) -> Life {
-        Life(child)
+impl From<Child> for ProcessGuard {
+    fn from(child: Child) -> ProcessGuard {
+        ProcessGuard(child)
     }
 }
 
-impl Drop for Life {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-impl std::ops::Deref for Life {
+impl std::ops::Deref for ProcessGuard {
     type Target = Child;
 
     fn deref(&self) -> &Child {
@@ -101,75 +106,83 @@
     }
 }
 
-impl std::ops::DerefMut for Life {
+impl std::ops::DerefMut for ProcessGuard {
     fn deref_mut(&mut self) -> &mut Child {
         &mut self.0
     }
 }
 
-pub fn front(config: &Path) -> (Life, SocketAddr, SocketAddr) {
-    started(Command::new(env!("CARGO_BIN_EXE_cloverhollow")), config)
+/// Starts a front and returns its process, viewer address and side address.
+pub fn start_front(config: &Path) -> (ProcessGuard, SocketAddr, SocketAddr) {
+    start_with(Command::new(env!("CARGO_BIN_EXE_cloverhollow")), config)
 }
 
-/// A front whose process may write no byte to any file, as on a full disk.
-pub fn front_without_room(config: &Path) -> (Life, SocketAddr, SocketAddr) {
+/// Starts a front whose process cannot write to any file, as on a full disk.
+pub fn start_front_on_full_disk(config: &Path) -> (ProcessGuard, SocketAddr, SocketAddr) {
     let mut shell = Command::new("sh");
     let script = "trap '' XFSZ; ulimit -f 0; exec \"$0\" \"$@\"";
     shell.args(["-c", script, env!("CARGO_BIN_EXE_cloverhollow")]);
-    started(shell, config)
+    start_with(shell, config)
 }
 
-fn started(command: Command, config: &Path) -> (Life, SocketAddr, SocketAddr) {
-    let (life, ready) = ready(command, "serve", config);
-    let of = |key: &str| ready[key].as_str().unwrap().parse().unwrap();
-    (life, of("address"), of("side"))
+fn start_with(command: Command, config: &Path) -> (ProcessGuard, SocketAddr, SocketAddr) {
+    let (process, ready) = spawn_until_ready(command, "serve", config);
+    let address = |key: &str| ready[key].as_str().unwrap().parse().unwrap();
+    (process, address("address"), address("side"))
 }
 
-/// A process that has said that it is ready, and what it said.
-pub fn ready(mut command: Command, word: &str, config: &Path) -> (Life, serde_json::Value) {
+/// Spawns a process, waits for its ready line and returns both.
+pub fn spawn_until_ready(
+    mut command: Command,
+    subcommand: &str,
+    config: &Path,
+) -> (ProcessGuard, serde_json::Value) {
     let mut child = command
-        .args([word, "--log-level", "error", "--config"])
+        .args([subcommand, "--log-level", "error", "--config"])
         .arg(config)
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
     let mut line = String::new();
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    (Life(child), serde_json::from_str(&line).unwrap())
+    (ProcessGuard(child), serde_json::from_str(&line).unwrap())
 }
 
-pub fn ask(address: SocketAddr, path: &str, hints: &str) -> (TcpStream, String) {
-    let mut s = TcpStream::connect(address).unwrap();
-    s.set_read_timeout(Some(LONG)).unwrap();
-    let _ = write!(s, "GET {path} HTTP/1.1\r\nhost: f\r\nconnection: close\r\n{hints}\r\n");
-    (s, String::new())
+/// Sends a GET request and returns the connection, with an empty buffer for [`read_response`].
+pub fn send_get(address: SocketAddr, path: &str, hints: &str) -> (TcpStream, String) {
+    let mut stream = TcpStream::connect(address).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let _ = write!(stream, "GET {path} HTTP/1.1\r\nhost: f\r\nconnection: close\r\n{hints}\r\n");
+    (stream, String::new())
 }
 
-pub fn whole(mut asked: (TcpStream, String)) -> String {
-    let _ = asked.0.read_to_string(&mut asked.1);
-    asked.1
+/// Reads until the connection closes.
+pub fn read_response(mut request: (TcpStream, String)) -> String {
+    let _ = request.0.read_to_string(&mut request.1);
+    request.1
 }
 
-pub fn until_ready(side: SocketAddr) {
-    while !whole(ask(side, "/health", "")).contains("\"ready\":true") {
+/// Waits until `/health` reports that the front is ready.
+pub fn wait_until_ready(side: SocketAddr) {
+    while !read_response(send_get(side, "/health", "")).contains("\"ready\":true") {
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A new folder for a test's files.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates an empty directory for the files of a test.
+pub fn temp_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("cloverhollow-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-/// Settings with a paid class, kept in that folder.
-pub fn settings(dir: &Path, discovery: SocketAddr, more: &str) -> PathBuf {
+/// Writes settings with a paid class to `dir`. `keep_options` is appended to the fields of `keep`.
+pub fn write_settings(dir: &Path, discovery: SocketAddr, keep_options: &str) -> PathBuf {
     let config = dir.join("front.yaml");
     let text = format!(
         "listen: {{address: \"127.0.0.1:0\"}}\nside: {{address: \"127.0.0.1:0\"}}\n\
-         discovery: {{address: \"{discovery}\"}}\nkeep: {{file: \"{}\"{more}}}\n\
+         discovery: {{address: \"{discovery}\"}}\nkeep: {{file: \"{}\"{keep_options}}}\n\
          classes:\n- {{name: paid, aim_ms: 1000, deadline_ms: 15000, paid: true}}\n",
         dir.join("front.keep").display()
     );
--- a/crates/cli/tests/deploy.rs
+++ b/crates/cli/tests/deploy.rs
@@ -1,8 +1,9 @@
-//! What the platform asks of `deploy/balancer.toml` and of the program that it starts.
+//! Requirements of the platform on `deploy/balancer.toml` and on the program that it starts.
 
 use object::{Object, ObjectSection};
 use std::path::Path;
 
+/// Root of the workspace.
 fn root() -> &'static Path {
     Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
@@ -12,9 +13,9 @@
     text.parse().unwrap()
 }
 
-/// `run` ends in one process: `exec`, one program that `build` makes, nothing that only a shell could mean.
+/// `run` and `sim` replace the shell by one process: `exec`, a program that `build` produces, and no shell syntax.
 #[test]
-fn run_is_one_program_by_exec_that_build_makes() {
+fn run_commands_exec_a_single_program_produced_by_build() {
     let deploy = deploy();
     for (key, package) in [("run", "cloverhollow-cli"), ("sim", "cloverhollow-drill")] {
         let words: Vec<&str> = deploy[key].as_str().unwrap().split(' ').collect();
@@ -32,14 +33,14 @@
     }
 }
 
-/// Linked dynamically against the C library: by an interpreter, and by name.
+/// The executable names a dynamic loader and the C library.
 #[test]
-fn the_program_is_linked_dynamically_against_the_c_library() {
+fn program_is_linked_dynamically_against_the_c_library() {
     let bytes = std::fs::read(env!("CARGO_BIN_EXE_cloverhollow")).unwrap();
     let file = object::File::parse(&*bytes).unwrap();
     let section = |name: &str| file.section_by_name(name).and_then(|s| s.data().ok()).unwrap_or_default();
     let interpreter = String::from_utf8_lossy(section(".interp")).into_owned();
     assert!(interpreter.contains("ld-linux"), "interpreter {interpreter:?}");
     let needed = section(".dynstr").split(|b| *b == 0).any(|name| name.starts_with(b"libc.so."));
-    assert!(needed, "no C library among what it needs");
+    assert!(needed, "the C library is not among the needed libraries");
 }
--- a/crates/cli/tests/platform/fakes.rs
+++ b/crates/cli/tests/platform/fakes.rs
@@ -1,10 +1,10 @@
-//! The video server's and the command channel's ends.
+//! Fake video server and fake command channel. They send only what a test tells them to send.
 
 use super::*;
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
 
-/// A video server's listener. What connects waits in its queue until the test takes it.
+/// Listener of a fake video server. Connections wait in the accept queue until the test takes them.
 pub struct Server(TcpListener);
 
 impl Server {
@@ -16,107 +16,108 @@
         self.0.local_addr().unwrap()
     }
 
-    /// The next connection.
-    pub fn accept(&self) -> Link {
-        until("a connection to the server", || self.accept_now())
+    /// Waits for the next connection.
+    pub fn accept(&self) -> ServerConnection {
+        wait_for("a connection to the server", || self.try_accept())
     }
 
-    /// A connection if one waits.
-    pub fn accept_now(&self) -> Option<Link> {
+    /// Returns a connection if one is in the accept queue.
+    pub fn try_accept(&self) -> Option<ServerConnection> {
         self.0.set_nonblocking(true).unwrap();
-        let got = self.0.accept();
+        let accepted = self.0.accept();
         self.0.set_nonblocking(false).unwrap();
-        let stream = patient(got.ok()?.0);
+        let stream = with_read_timeout(accepted.ok()?.0);
         stream.set_nonblocking(false).unwrap();
-        Some(Link { lines: BufReader::new(stream.try_clone().unwrap()), stream })
+        Some(ServerConnection { lines: BufReader::new(stream.try_clone().unwrap()), stream })
     }
 }
 
-/// A session manager's connection, at the video server's end.
-pub struct Link {
+/// Connection from a session manager, seen from the video server.
+pub struct ServerConnection {
     pub stream: TcpStream,
     lines: BufReader<TcpStream>,
 }
 
-impl Link {
-    /// The next line; `None`: it was closed.
-    pub fn line(&mut self) -> Option<Value> {
+impl ServerConnection {
+    /// Waits for the next line; `None` if the connection was closed.
+    pub fn read_line(&mut self) -> Option<Value> {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
             Ok(n) if n > 0 => Some(serde_json::from_str(&line).unwrap()),
             Ok(_) => None,
             Err(e) if e.kind() == ErrorKind::ConnectionReset => None,
-            Err(e) => panic!("no line and no close: {e}"),
+            Err(e) => panic!("neither a line nor a close: {e}"),
         }
     }
 
-    /// The next line if one comes soon; `None`: none does, or it was closed.
-    pub fn line_now(&mut self) -> Option<Value> {
+    /// Returns the next line if one arrives within 100 ms; `None` if not, or if the connection was closed.
+    pub fn try_read_line(&mut self) -> Option<Value> {
         self.stream.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
         let mut line = String::new();
         let read = self.lines.read_line(&mut line);
-        self.stream.set_read_timeout(Some(LONG)).unwrap();
+        self.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         read.ok().filter(|n| *n > 0).map(|_| serde_json::from_str(&line).unwrap())
     }
 
-    /// The next set-up: its id. Lines about other things are passed over.
-    pub fn start(&mut self) -> Option<String> {
+    /// Waits for the next START and returns its tag. Other lines are skipped.
+    pub fn read_start(&mut self) -> Option<String> {
         loop {
-            let line = self.line()?;
+            let line = self.read_line()?;
             if line["verb"] == "START" {
                 return Some(line["tag"].as_str().unwrap().to_owned());
             }
         }
     }
 
-    pub fn say(&mut self, line: &Value) {
+    /// Writes one JSON line.
+    pub fn send_line(&mut self, line: &Value) {
         self.stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
-    /// The session stands.
-    pub fn started(&mut self, tag: &str) {
-        self.say(&json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "v=0 answer"}));
+    /// Confirms the set-up of a session.
+    pub fn send_started(&mut self, tag: &str) {
+        self.send_line(&json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "v=0 answer"}));
     }
 
-    /// A release, or the end of a set-up.
-    pub fn finish(&mut self, tag: &str, cause: i64) {
-        self.say(&json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": cause}));
+    /// Releases a session, or refuses its set-up.
+    pub fn send_finish(&mut self, tag: &str, cause: i64) {
+        self.send_line(&json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": cause}));
     }
 }
 
-/// The command channel's listener.
-pub struct Channel(TcpListener);
+/// Listener of a fake command channel.
+pub struct CommandChannel(TcpListener);
 
-impl Channel {
-    pub fn new() -> Channel {
-        Channel(TcpListener::bind("127.0.0.1:0").unwrap())
+impl CommandChannel {
+    pub fn new() -> CommandChannel {
+        CommandChannel(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap()
     }
 
-    /// The next that asks: its connection, nothing said on it yet, and the last event that it names.
+    /// Waits for the next subscription; returns its connection, not yet answered, and the last event id it names.
     pub fn accept(&self) -> (TcpStream, u64) {
         self.0.set_nonblocking(true).unwrap();
-        let accepted = until("a call to the channel", || self.0.accept().ok());
-        let mut stream = patient(accepted.0);
+        let accepted = wait_for("a request at the command channel", || self.0.accept().ok());
+        let mut stream = with_read_timeout(accepted.0);
         stream.set_nonblocking(false).unwrap();
-        let head = head(&mut stream).to_lowercase();
+        let head = read_head(&mut stream).to_lowercase();
         assert!(head.starts_with("get /cmd/next "), "{head}");
         let last = head.lines().find_map(|l| l.strip_prefix("last-event-id: ")).unwrap().parse().unwrap();
         (stream, last)
     }
 
-    /// As [`Channel::accept`], and the stream of events begins.
-    pub fn watched(&self) -> (TcpStream, u64) {
+    /// As [`CommandChannel::accept`], and begins the event stream.
+    pub fn accept_stream(&self) -> (TcpStream, u64) {
         let (mut stream, last) = self.accept();
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n").unwrap();
         (stream, last)
     }
 }
 
-/// Writes an event on a watched channel.
-pub fn tell(channel: &mut TcpStream, event: &Value) {
+/// Writes an event to an event stream.
+pub fn send_event(channel: &mut TcpStream, event: &Value) {
     channel.write_all(format!("id: {}\ndata: {event}\n\n", event["cursor"]).as_bytes()).unwrap();
 }
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -1,13 +1,13 @@
-//! A session manager as a process, and what stands round it: a viewer, a video server and a command channel that do
-//! byte for byte what a test says, and nothing by themselves.
-#![allow(dead_code)] // each test file uses a part
+//! Runs a session manager as a child process, with viewers, fake video servers and a fake command channel whose bytes
+//! the test controls.
+#![allow(dead_code)] // each test binary uses a subset
 
 #[path = "../common/mod.rs"]
 mod common;
 mod fakes;
 
-#[allow(unused_imports)] // each test file uses a part
-pub use common::{folder, ready, Life, LONG};
+#[allow(unused_imports)] // each test binary uses a subset
+pub use common::{spawn_until_ready, temp_dir, ProcessGuard, TIMEOUT};
 pub use fakes::*;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -17,15 +17,15 @@
 use std::process::{Command, ExitStatus};
 use std::time::{Duration, Instant};
 
-/// A session manager's process, ended with the test.
+/// Process of a session manager, killed when the test ends.
 pub struct Node {
-    pub life: Life,
+    pub process: ProcessGuard,
     pub address: SocketAddr,
     pub config: PathBuf,
 }
 
-/// A configuration in which nothing binds: two classes (`clip`, which may be repeated, and `paid`), the given servers in
-/// service, warm. Tests change what they are about.
+/// Configuration without effective limits: two classes (`clip`, which may be retried, and `paid`, which may not) and the
+/// given servers, in service and warm. Tests override the fields they are about.
 pub fn config(channel: SocketAddr, servers: &[SocketAddr]) -> Value {
     let entries: Vec<_> =
         servers.iter().enumerate().map(|(i, at)| endpoint(i, *at, "in_service", 0)).collect();
@@ -47,130 +47,130 @@
     })
 }
 
-/// An event of the command channel.
+/// Server-list event of the command channel.
 pub fn event(cursor: u64, snapshot: bool, endpoints: Vec<Value>) -> Value {
     json!({"cursor": cursor, "nodes": {"index": cursor, "snapshot": snapshot, "endpoints": endpoints}})
 }
 
-/// An entry of the list: server `s-0000000N`. `since`: Unix ms of a late start, or 0.
-pub fn endpoint(n: usize, address: SocketAddr, status: &str, since: u64) -> Value {
+/// List entry of server `s-0000000N`. `since_ms` is the start of the server in Unix ms, or 0 for a warm server.
+pub fn endpoint(n: usize, address: SocketAddr, status: &str, since_ms: u64) -> Value {
     json!({"name": format!("s-{n:08x}"), "address": address.to_string(), "zone": "east", "type": "std", "group": n,
-        "status": status, "weight": 4.0, "since_ms": since})
+        "status": status, "weight": 4.0, "since_ms": since_ms})
 }
 
-/// Starts one that is to be ready; its log goes to the test's standard error.
-pub fn start(name: &str, config: &Value) -> Node {
-    start_by(Command::new(env!("CARGO_BIN_EXE_cloverhollow")), name, config)
+/// Starts a session manager and waits until it is ready; its log goes to the standard error of the test.
+pub fn start_node(name: &str, config: &Value) -> Node {
+    start_node_with(Command::new(env!("CARGO_BIN_EXE_cloverhollow")), name, config)
 }
 
-/// As [`start`], with at most so many descriptors by the system's own limit.
-pub fn start_with_descriptors(name: &str, config: &Value, most: u32) -> Node {
+/// As [`start_node`], with a limit on file descriptors set by the operating system.
+pub fn start_node_with_descriptors(name: &str, config: &Value, max_descriptors: u32) -> Node {
     let mut shell = Command::new("sh");
-    let script = format!("ulimit -n {most}; exec \"$0\" \"$@\"");
+    let script = format!("ulimit -n {max_descriptors}; exec \"$0\" \"$@\"");
     shell.args(["-c", &script, env!("CARGO_BIN_EXE_cloverhollow")]);
-    start_by(shell, name, config)
+    start_node_with(shell, name, config)
 }
 
-fn start_by(program: Command, name: &str, config: &Value) -> Node {
-    let file = folder(&format!("node-{name}")).join("config.json");
+fn start_node_with(program: Command, name: &str, config: &Value) -> Node {
+    let file = temp_dir(&format!("node-{name}")).join("config.json");
     std::fs::write(&file, config.to_string()).unwrap();
-    let (life, ready) = common::ready(program, "node", &file);
+    let (process, ready) = common::spawn_until_ready(program, "node", &file);
     let address = ready["address"].as_str().unwrap().parse().unwrap();
-    Node { life, address, config: file }
+    Node { process, address, config: file }
 }
 
 impl Node {
     pub fn connect(&self) -> TcpStream {
-        patient(TcpStream::connect(self.address).unwrap())
+        with_read_timeout(TcpStream::connect(self.address).unwrap())
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill_process(Pid::from_child(&self.life), signal).unwrap();
+        kill_process(Pid::from_child(&self.process), signal).unwrap();
     }
 
-    /// Writes another configuration and has it read.
-    pub fn configure(&self, config: &Value) {
+    /// Replaces the configuration file and sends SIGHUP.
+    pub fn reload_config(&self, config: &Value) {
         std::fs::write(&self.config, config.to_string()).unwrap();
         self.signal(Signal::HUP);
     }
 
-    /// Whether its readiness test is passed.
-    pub fn tested(&self) -> bool {
+    /// Returns whether the readiness check of the platform succeeds.
+    pub fn passes_readiness_check(&self) -> bool {
         let mut conn = self.connect();
         conn.write_all(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
             .unwrap();
-        head(&mut conn).starts_with("RTSP/1.0 200 ")
+        read_head(&mut conn).starts_with("RTSP/1.0 200 ")
     }
 
-    /// How it ended; it must.
-    pub fn ended(&mut self) -> ExitStatus {
-        until("it ends", || self.life.try_wait().unwrap())
+    /// Waits until the process exits.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        wait_for("the process exits", || self.process.try_wait().unwrap())
     }
 }
 
-/// What `look` finds; it must come.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Polls until `find` returns a value; panics after [`TIMEOUT`].
+pub fn wait_for<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = find() {
             return found;
         }
-        assert!(begun.elapsed() < LONG, "not seen: {what}");
+        assert!(begun.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn patient(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(LONG)).unwrap();
+fn with_read_timeout(stream: TcpStream) -> TcpStream {
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.set_nodelay(true).unwrap();
     stream
 }
 
-/// The next head that comes, without the body; what is there before a close or an end.
-pub fn head(conn: &mut TcpStream) -> String {
+/// Reads the next message head, without the body; returns the bytes so far if the connection closes or is reset.
+pub fn read_head(conn: &mut TcpStream) -> String {
     let (mut text, mut byte) = (Vec::new(), [0]);
     while !text.ends_with(b"\r\n\r\n") {
         match conn.read(&mut byte) {
             Ok(1) => text.push(byte[0]),
             Ok(_) => break,
             Err(e) if e.kind() == ErrorKind::ConnectionReset => break,
-            Err(e) => panic!("neither an answer nor a close: {e}"),
+            Err(e) => panic!("neither a response nor a close: {e}"),
         }
     }
     String::from_utf8(text).unwrap()
 }
 
-/// The next message, head and body.
-pub fn message(conn: &mut TcpStream) -> (String, String) {
-    let head = head(conn);
+/// Reads the next message: head and body.
+pub fn read_message(conn: &mut TcpStream) -> (String, String) {
+    let head = read_head(conn);
     let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: ")).and_then(|n| n.parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     conn.read_exact(&mut body).unwrap();
     (head, String::from_utf8(body).unwrap())
 }
 
-/// A viewer's set-up, which waits for `left` ms.
-pub fn setup(id: u64, class: &str, left: u64) -> String {
+/// Set-up request of a viewer that waits `wait_ms` for the response.
+pub fn setup_request(id: u64, class: &str, wait_ms: u64) -> String {
     let (route, blob) = ("home:0;copies:9;top:1;viewer:00000000b4d65521", format!("v=0 {id}"));
     format!(
         "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: {id:016x}\r\nX-Service: {class}\r\n\
-         X-Setup-Ms: {left}\r\nX-Route: {route}\r\nContent-Length: {}\r\n\r\n{blob}",
+         X-Setup-Ms: {wait_ms}\r\nX-Route: {route}\r\nContent-Length: {}\r\n\r\n{blob}",
         blob.len()
     )
 }
 
-/// A viewer's word that it gives a set-up up, or is done with a session (`cause`).
-pub fn teardown(id: u64, cause: Option<i64>) -> String {
+/// Teardown request of a viewer: cancels a set-up, or with `cause` ends a session.
+pub fn teardown_request(id: u64, cause: Option<i64>) -> String {
     let reason = cause.map(|c| format!("Reason: cause={c}\r\n")).unwrap_or_default();
     format!("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {id:016x}\r\n{reason}Content-Length: 0\r\n\r\n")
 }
 
-/// Ends a connection by a reset.
-pub fn reset(conn: TcpStream) {
+/// Closes a connection with a TCP reset.
+pub fn reset_connection(conn: TcpStream) {
     socket2::SockRef::from(&conn).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Descriptors that a process holds.
-pub fn descriptors(pid: u32) -> usize {
+/// Number of file descriptors that a process holds.
+pub fn open_descriptors(pid: u32) -> usize {
     std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().count()
 }
--- a/crates/cli/tests/platform/server_list.rs
+++ b/crates/cli/tests/platform/server_list.rs
@@ -1,86 +1,96 @@
-//! A session manager with one server, whose list changes while sessions stand.
-#![allow(dead_code)] // each test file uses a part
+//! A session manager with one video server, whose list entry changes while sessions are established.
+#![allow(dead_code)] // each test binary uses a subset
 
 use crate::platform::{
-    config, endpoint, event, message, setup, start, tell, until, Channel, Link, Node, Server, LONG,
+    config, endpoint, event, read_message, send_event, setup_request, start_node, wait_for, CommandChannel,
+    Node, Server, ServerConnection, TIMEOUT,
 };
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The protocol's limit from the server's release to the client's, with its slack.
-pub const RELEASED_WITHIN: Duration = Duration::from_millis(1_050);
-/// Sessions handed over count for the rules so much later.
+/// Time limit of the protocol from the release by the server to the release at the viewer, including slack.
+pub const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_050);
+/// Additional time that the protocol allows for sessions that were handed over.
 pub const HANDED_OVER_SLACK: Duration = Duration::from_millis(200);
 
+/// Tag of a session in messages to video servers.
 pub fn tag(id: u64) -> String {
     format!("{id:016x}")
 }
 
-/// A process with one server, and the stream on which its list changes.
-pub struct Listed {
+/// A session manager, its only video server and the event stream that updates the server list.
+pub struct ServerListFixture {
     pub node: Node,
-    _channel: Channel,
+    _channel: CommandChannel,
     stream: TcpStream,
     pub server: Server,
     cursor: u64,
+    /// Session id of the next probe request.
     pub next_probe: u64,
 }
 
-impl Listed {
-    pub fn new(name: &str) -> Listed {
-        let (channel, server) = (Channel::new(), Server::new());
-        let node = start(name, &config(channel.address(), &[server.address()]));
-        let (stream, _) = channel.watched();
-        Listed { node, _channel: channel, stream, server, cursor: 7, next_probe: 0xf000 }
+impl ServerListFixture {
+    pub fn new(name: &str) -> ServerListFixture {
+        let (channel, server) = (CommandChannel::new(), Server::new());
+        let node = start_node(name, &config(channel.address(), &[server.address()]));
+        let (stream, _) = channel.accept_stream();
+        ServerListFixture { node, _channel: channel, stream, server, cursor: 7, next_probe: 0xf000 }
     }
 
-    pub fn tell(&mut self, snapshot: bool, entries: Vec<Value>) {
+    /// Sends a list update: a snapshot, or changed entries.
+    pub fn update_list(&mut self, snapshot: bool, entries: Vec<Value>) {
         self.cursor += 1;
-        tell(&mut self.stream, &event(self.cursor, snapshot, entries));
+        send_event(&mut self.stream, &event(self.cursor, snapshot, entries));
     }
 
-    /// The server's state, under number `n` of the list.
-    pub fn listed(&self, n: usize, status: &str, since: u64) -> Value {
-        endpoint(n, self.server.address(), status, since)
+    /// List entry of the server under the name with number `n`.
+    pub fn list_entry(&self, n: usize, status: &str, since_ms: u64) -> Value {
+        endpoint(n, self.server.address(), status, since_ms)
     }
 
-    /// Tells that the server has left, and waits until set-ups are refused for want of a server.
-    pub fn leave(&mut self) {
-        let gone = self.listed(0, "terminated", 0);
-        self.tell(false, vec![gone]);
-        self.await_no_servers();
+    /// Removes the server from the list and waits until set-ups are refused because no server is left.
+    pub fn remove_server(&mut self) {
+        let removed = self.list_entry(0, "terminated", 0);
+        self.update_list(false, vec![removed]);
+        self.wait_until_no_servers();
     }
 
-    pub fn await_no_servers(&mut self) {
+    /// Waits until set-ups are refused because no server is listed.
+    pub fn wait_until_no_servers(&mut self) {
         let (node, next) = (&self.node, &mut self.next_probe);
-        until("a refusal", || {
+        wait_for("a refusal", || {
             *next += 1;
             let mut viewer = node.connect();
-            viewer.write_all(setup(*next, "clip", 100).as_bytes()).unwrap();
-            message(&mut viewer).0.starts_with("RTSP/1.0 503 ").then_some(())
+            viewer.write_all(setup_request(*next, "clip", 100).as_bytes()).unwrap();
+            read_message(&mut viewer).0.starts_with("RTSP/1.0 503 ").then_some(())
         });
     }
 
-    /// Sets a session up on a new connection to the server; it stands.
-    pub fn stand_on_new(&self, id: u64) -> (TcpStream, Link) {
+    /// Establishes a session on a new connection to the server.
+    pub fn establish_on_new_connection(&self, id: u64) -> (TcpStream, ServerConnection) {
         let mut viewer = self.node.connect();
-        viewer.write_all(setup(id, "clip", 2_000).as_bytes()).unwrap();
-        let mut link = self.server.accept();
-        assert_eq!(link.start(), Some(tag(id)));
-        stand(&mut viewer, &mut link, id);
-        (viewer, link)
+        viewer.write_all(setup_request(id, "clip", 2_000).as_bytes()).unwrap();
+        let mut server_conn = self.server.accept();
+        assert_eq!(server_conn.read_start(), Some(tag(id)));
+        establish(&mut viewer, &mut server_conn, id);
+        (viewer, server_conn)
     }
 
-    /// Sets a session up after the list has changed, on whichever connection it goes; probes until the change is taken in.
-    pub fn stand_again(&mut self, id: u64, older: &mut Link) -> (TcpStream, Option<Link>) {
-        let mut viewer = until("a set-up is begun", || {
+    /// Establishes a session after a list update, on the `older` or a new connection; retries until the update has taken
+    /// effect. Returns the new connection, if there is one.
+    pub fn establish_after_update(
+        &mut self,
+        id: u64,
+        older: &mut ServerConnection,
+    ) -> (TcpStream, Option<ServerConnection>) {
+        let mut viewer = wait_for("a set-up that is not refused", || {
             let mut viewer = self.node.connect();
-            viewer.write_all(setup(id, "clip", 2_000).as_bytes()).unwrap();
+            viewer.write_all(setup_request(id, "clip", 2_000).as_bytes()).unwrap();
             viewer.set_nonblocking(true).unwrap();
-            let begun = Instant::now();
-            while begun.elapsed() < Duration::from_millis(50) {
+            let started_at = Instant::now();
+            while started_at.elapsed() < Duration::from_millis(50) {
                 if viewer.peek(&mut [0]).is_ok() {
                     return None; // refused: the server is not listed yet
                 }
@@ -89,63 +99,64 @@
             viewer.set_nonblocking(false).unwrap();
             Some(viewer)
         });
-        match self.server.accept_now() {
-            Some(mut link) => {
-                assert_eq!(link.start(), Some(tag(id)));
-                stand(&mut viewer, &mut link, id);
-                (viewer, Some(link))
+        match self.server.try_accept() {
+            Some(mut server_conn) => {
+                assert_eq!(server_conn.read_start(), Some(tag(id)));
+                establish(&mut viewer, &mut server_conn, id);
+                (viewer, Some(server_conn))
             }
             None => {
-                assert_eq!(older.start(), Some(tag(id)));
-                stand(&mut viewer, older, id);
+                assert_eq!(older.read_start(), Some(tag(id)));
+                establish(&mut viewer, older, id);
                 (viewer, None)
             }
         }
     }
 }
 
-pub fn stand(viewer: &mut TcpStream, link: &mut Link, id: u64) {
-    link.started(&tag(id));
-    let (head, _) = message(viewer);
+/// Confirms the set-up at the server and checks the response to the viewer.
+pub fn establish(viewer: &mut TcpStream, server_conn: &mut ServerConnection, id: u64) {
+    server_conn.send_started(&tag(id));
+    let (head, _) = read_message(viewer);
     assert!(head.starts_with("RTSP/1.0 200 ") && head.contains(&tag(id)), "{head}");
 }
 
-/// The viewer is released from that session, in the protocol's time from now.
+/// Checks that the viewer receives the release of that session within [`RELEASE_TIMEOUT`].
 pub fn assert_released(viewer: &mut TcpStream, id: u64, what: &str) {
-    assert_released_within(viewer, id, RELEASED_WITHIN, what);
+    assert_released_within(viewer, id, RELEASE_TIMEOUT, what);
 }
 
 pub fn assert_released_within(viewer: &mut TcpStream, id: u64, within: Duration, what: &str) {
     viewer.set_read_timeout(Some(within)).unwrap();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     match viewer.peek(&mut [0]) {
         Ok(n) if n > 0 => {}
-        other => panic!("{what}: no release after {:?}: {other:?}", begun.elapsed()),
+        other => panic!("{what}: no release after {:?}: {other:?}", started_at.elapsed()),
     }
-    viewer.set_read_timeout(Some(LONG)).unwrap();
-    let (head, _) = message(viewer);
+    viewer.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let (head, _) = read_message(viewer);
     assert!(head.starts_with("TEARDOWN ") && head.contains(&tag(id)), "{what}: {head}");
 }
 
-/// Nothing has come for the viewer by now.
-pub fn assert_plays_on(viewer: &mut TcpStream, what: &str) {
+/// Checks that no message has arrived at the viewer so far.
+pub fn assert_not_released(viewer: &mut TcpStream, what: &str) {
     viewer.set_nonblocking(true).unwrap();
-    let came = viewer.peek(&mut [0]);
+    let received = viewer.peek(&mut [0]);
     viewer.set_nonblocking(false).unwrap();
-    assert!(matches!(&came, Err(e) if e.kind() == ErrorKind::WouldBlock), "{what}: {came:?}");
+    assert!(matches!(&received, Err(e) if e.kind() == ErrorKind::WouldBlock), "{what}: {received:?}");
 }
 
-/// Has the node answer a test on that connection: all that was written on it before has been taken in. What comes before
-/// the answer is given back.
-pub fn settle(link: &mut Link) -> Vec<Value> {
-    let test = tag(0xeeee);
-    link.say(&json!({"verb": "ECHO", "tag": test, "opts": {}, "rc": 0}));
-    let mut before = Vec::new();
+/// Sends an ECHO on that connection and waits for its reply, by which all earlier lines on it have been processed. Returns
+/// the lines that arrive before the reply.
+pub fn wait_until_processed(server_conn: &mut ServerConnection) -> Vec<Value> {
+    let echo_tag = tag(0xeeee);
+    server_conn.send_line(&json!({"verb": "ECHO", "tag": echo_tag, "opts": {}, "rc": 0}));
+    let mut earlier_lines = Vec::new();
     loop {
-        let line = link.line().expect("the test is passed on its own connection");
-        if line["verb"] == "ECHOED" && line["tag"] == *test {
-            return before;
+        let line = server_conn.read_line().expect("the echo is answered on its own connection");
+        if line["verb"] == "ECHOED" && line["tag"] == *echo_tag {
+            return earlier_lines;
         }
-        before.push(line);
+        earlier_lines.push(line);
     }
 }
--- a/crates/cli/tests/ramp/mod.rs
+++ b/crates/cli/tests/ramp/mod.rs
@@ -1,9 +1,9 @@
-//! A cold server, and session managers that want it: processes on real sockets, each with its own command channel that
-//! tells of the server's start late, and a viewer that never stops asking.
+//! Runs one cold server and many session manager processes on real sockets. Each manager has its own command channel,
+//! which reports the start of the server with a delay, and a viewer that sends set-ups continuously.
 
 mod server;
 
-use crate::platform::{endpoint, event, setup, start, Node};
+use crate::platform::{endpoint, event, setup_request, start_node, Node};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 pub use server::Server;
@@ -18,152 +18,166 @@
     Duration::from_millis(n)
 }
 
-/// The settings that say what a cold server takes, in the platform's words.
+/// Settings that limit set-ups at a cold server.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ColdServerSettings {
+    /// Number of session managers.
     pub fronts: usize,
-    pub cold: u64,
+    /// Time for which a server stays cold after its start.
+    pub cold_ms: u64,
+    /// Fraction of the full set-up rate that a server takes at its start.
     pub cold_from: f64,
-    pub fall: u64,
-    pub multiple: f64,
+    /// Length of the window in which set-ups are counted.
+    pub window_ms: u64,
+    /// Multiple of the permitted rate at which the server overloads.
+    pub overload_multiple: f64,
+    /// Concurrent sessions that a server can hold.
     pub places: f64,
 }
 
-impl Terms {
-    /// Set-ups that a window may hold: of the rate that turns all places over once in the time that a start stays cold, the
-    /// part that it has at its start, the multiple of that, over the fall's span; and 2 x root of it + 2.
-    pub fn line(&self) -> usize {
-        let full = self.places / (self.cold as f64 / 1e3);
-        let n = self.multiple * self.cold_from * full * (self.fall as f64 / 1e3);
+impl ColdServerSettings {
+    /// Maximum number of set-ups in a window: N + 2 * sqrt(N) + 2, where N is the expected number at the overload rate. The
+    /// full rate fills all places once within the cold time; the overload rate is `overload_multiple * cold_from` of it.
+    pub fn max_setups_per_window(&self) -> usize {
+        let full_rate = self.places / (self.cold_ms as f64 / 1e3);
+        let n = self.overload_multiple * self.cold_from * full_rate * (self.window_ms as f64 / 1e3);
         (n + 2.0 * n.sqrt() + 2.0).floor() as usize
     }
 
-    /// The configuration of one of them.
+    /// Configuration of the session manager with this index.
     pub fn config(&self, index: usize, channel: SocketAddr, cursor: u64, entries: Vec<Value>) -> Value {
-        let mut c = crate::platform::config(channel, &[]);
-        c["name"] = json!(format!("n{index}"));
-        c["known"] = json!({"cursor": cursor, "cmds": [event(cursor, true, entries)]});
-        let s = &mut c["settings"];
-        (s["balancers"], s["index"]) = (json!(self.fronts), json!(index));
-        s["domain"]["places-by-kind"] = json!([self.places]);
-        s["domain"]["link-unit-kb"] = json!(1e9);
-        s["invariants"] = json!({"cold": self.cold, "cold-from": self.cold_from, "fall": self.fall,
-            "fall-multiple": self.multiple});
-        c
+        let mut config = crate::platform::config(channel, &[]);
+        config["name"] = json!(format!("n{index}"));
+        config["known"] = json!({"cursor": cursor, "cmds": [event(cursor, true, entries)]});
+        let settings = &mut config["settings"];
+        (settings["balancers"], settings["index"]) = (json!(self.fronts), json!(index));
+        settings["domain"]["places-by-kind"] = json!([self.places]);
+        settings["domain"]["link-unit-kb"] = json!(1e9);
+        settings["invariants"] = json!({"cold": self.cold_ms, "cold-from": self.cold_from, "fall": self.window_ms,
+            "fall-multiple": self.overload_multiple});
+        config
     }
 }
 
-/// What befalls a session manager.
+/// Disruption of a session manager process.
 #[derive(Clone, Copy, Debug)]
-pub enum Act {
-    /// SIGKILL, and a start from nothing.
+pub enum Disruption {
+    /// SIGKILL, then a restart without persisted state.
     Kill,
-    /// SIGTERM, its viewer goes on asking, so much later SIGKILL, and a start from nothing.
+    /// SIGTERM; SIGKILL after so many milliseconds, then a restart without persisted state. The viewer keeps sending.
     Term(u64),
-    /// SIGSTOP, and SIGCONT so much later.
+    /// SIGSTOP, then SIGCONT after so many milliseconds.
     Stop(u64),
 }
 
-/// What the day tells all session managers.
-pub struct Stage {
-    pub terms: Terms,
-    /// What the list holds before the server's start.
-    pub before: Vec<Value>,
-    /// When it started, and the entry that tells of it.
-    pub started: Mutex<Option<(Instant, Value)>>,
-    pub over: AtomicBool,
+/// State shared by all session managers of a scenario.
+pub struct Scenario {
+    pub settings: ColdServerSettings,
+    /// Server list before the start of the cold server.
+    pub initial_list: Vec<Value>,
+    /// Start time of the cold server and its list entry; `None` before the start.
+    pub server_start: Mutex<Option<(Instant, Value)>>,
+    /// Set to end the scenario.
+    pub finished: AtomicBool,
 }
 
-/// One session manager's place: its process, its command channel, its viewer.
-pub struct Seat {
+/// Drives one session manager: its process, its command channel and its viewer.
+pub struct ManagerDriver {
     pub index: usize,
-    /// It is told so long after the server's start; `None`: never.
-    pub told: Option<Duration>,
-    /// So long after the server's start.
-    pub acts: Vec<(Duration, Act)>,
+    /// Delay from the start of the server to the list update for this manager; `None`: no update.
+    pub update_delay: Option<Duration>,
+    /// Disruptions with their delays from the start of the server.
+    pub disruptions: Vec<(Duration, Disruption)>,
+    /// Number of 503 responses to the viewer.
     pub refused: Arc<AtomicUsize>,
+    /// Number of 200 responses to the viewer.
     pub served: Arc<AtomicUsize>,
 }
 
-/// The last event before the server's start.
-const FIRST: u64 = 7;
-/// Between two set-ups of a viewer.
-const ASKS: Duration = Duration::from_millis(20);
-/// Between two comments of a command channel.
-const BEAT: Duration = Duration::from_millis(500);
-
-impl Seat {
-    fn due(&self, stage: &Stage) -> Option<Value> {
-        let started = stage.started.lock().unwrap();
-        let (at, entry) = started.as_ref()?;
-        (at.elapsed() >= self.told?).then(|| entry.clone())
+/// Cursor of the last event before the start of the server.
+const INITIAL_CURSOR: u64 = 7;
+/// Interval between two set-ups of a viewer.
+const SETUP_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two heartbeat comments of a command channel.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+
+impl ManagerDriver {
+    /// Returns the list entry of the cold server once the update is due.
+    fn due_update(&self, scenario: &Scenario) -> Option<Value> {
+        let server_start = scenario.server_start.lock().unwrap();
+        let (started_at, entry) = server_start.as_ref()?;
+        (started_at.elapsed() >= self.update_delay?).then(|| entry.clone())
     }
 
-    fn start(&self, stage: &Stage, channel: SocketAddr, name: &str) -> (Node, TcpStream) {
-        let (cursor, entries) = match self.due(stage) {
-            Some(entry) => (FIRST + 1, vec![entry]),
-            None => (FIRST, stage.before.clone()),
+    fn start_manager(&self, scenario: &Scenario, channel: SocketAddr, name: &str) -> (Node, TcpStream) {
+        let (cursor, entries) = match self.due_update(scenario) {
+            Some(entry) => (INITIAL_CURSOR + 1, vec![entry]),
+            None => (INITIAL_CURSOR, scenario.initial_list.clone()),
         };
-        let node = start(name, &stage.terms.config(self.index, channel, cursor, entries));
+        let node = start_node(name, &scenario.settings.config(self.index, channel, cursor, entries));
         let conn = connect(&node);
         (node, conn)
     }
 
-    /// Lives its day.
-    pub fn play(mut self, stage: &Stage, day: &str) {
+    /// Runs the session manager until the scenario is finished.
+    pub fn run(mut self, scenario: &Scenario, scenario_name: &str) {
         let channel = TcpListener::bind("127.0.0.1:0").unwrap();
         channel.set_nonblocking(true).unwrap();
         let address = channel.local_addr().unwrap();
-        let name = format!("ramp-{day}-{}", self.index);
-        let (mut node, mut viewer) = self.start(stage, address, &name);
-        let mut watches: Vec<(TcpStream, bool)> = Vec::new();
-        let (mut asked, mut beat, mut n, mut resume) = (Instant::now(), Instant::now(), 0u64, None);
-        self.acts.sort_by_key(|a| std::cmp::Reverse(a.0));
-        while !stage.over.load(SeqCst) {
+        let name = format!("ramp-{scenario_name}-{}", self.index);
+        let (mut node, mut viewer) = self.start_manager(scenario, address, &name);
+        let mut streams: Vec<(TcpStream, bool)> = Vec::new();
+        let (mut last_setup, mut last_heartbeat, mut setup_count, mut resume_at) =
+            (Instant::now(), Instant::now(), 0u64, None);
+        self.disruptions.sort_by_key(|d| std::cmp::Reverse(d.0));
+        while !scenario.finished.load(SeqCst) {
             while let Ok((conn, _)) = channel.accept() {
-                watches.extend(watch(conn));
+                streams.extend(accept_stream(conn));
             }
-            let due = self.due(stage);
-            for (conn, told) in watches.iter_mut().filter(|(_, told)| !told) {
-                if let Some(entry) = &due {
-                    crate::platform::tell(conn, &event(FIRST + 1, false, vec![entry.clone()]));
-                    *told = true;
+            let update = self.due_update(scenario);
+            for (conn, updated) in streams.iter_mut().filter(|(_, updated)| !updated) {
+                if let Some(entry) = &update {
+                    crate::platform::send_event(conn, &event(INITIAL_CURSOR + 1, false, vec![entry.clone()]));
+                    *updated = true;
                 }
             }
-            if asked.elapsed() >= ASKS {
-                (asked, n) = (Instant::now(), n + 1);
-                let text = setup((self.index as u64) << 32 | n, "clip", 1_500);
-                let _ = viewer.write_all(text.as_bytes()); // a process that stands still takes only so much
+            if last_setup.elapsed() >= SETUP_INTERVAL {
+                (last_setup, setup_count) = (Instant::now(), setup_count + 1);
+                let text = setup_request((self.index as u64) << 32 | setup_count, "clip", 1_500);
+                let _ = viewer.write_all(text.as_bytes()); // fails when a stopped process has full socket buffers
             }
-            if !self.hear(&mut viewer) {
+            if !self.count_responses(&mut viewer) {
                 viewer = connect(&node);
             }
-            if beat.elapsed() >= BEAT {
-                beat = Instant::now();
-                watches.retain_mut(|(conn, _)| conn.write_all(b": beat\n\n").is_ok());
+            if last_heartbeat.elapsed() >= HEARTBEAT_INTERVAL {
+                last_heartbeat = Instant::now();
+                streams.retain_mut(|(conn, _)| conn.write_all(b": beat\n\n").is_ok());
             }
-            let since = stage.started.lock().unwrap().as_ref().map(|(at, _)| at.elapsed());
-            if resume.is_some_and(|at| Instant::now() >= at) {
+            let since_start = scenario.server_start.lock().unwrap().as_ref().map(|(at, _)| at.elapsed());
+            if resume_at.is_some_and(|at| Instant::now() >= at) {
                 node.signal(Signal::CONT);
-                resume = None;
+                resume_at = None;
             }
-            let act =
-                self.acts.last().filter(|a| resume.is_none() && since.is_some_and(|s| s >= a.0)).copied();
-            if let Some((at, act)) = act {
-                self.acts.pop();
-                match act {
-                    Act::Stop(long) => {
+            let next = self
+                .disruptions
+                .last()
+                .filter(|d| resume_at.is_none() && since_start.is_some_and(|s| s >= d.0))
+                .copied();
+            if let Some((at, disruption)) = next {
+                self.disruptions.pop();
+                match disruption {
+                    Disruption::Stop(pause_ms) => {
                         node.signal(Signal::STOP);
-                        resume = Some(Instant::now() + ms(long));
+                        resume_at = Some(Instant::now() + ms(pause_ms));
                     }
-                    Act::Term(later) => {
+                    Disruption::Term(kill_delay_ms) => {
                         node.signal(Signal::TERM);
-                        self.acts.push((at + ms(later), Act::Kill));
+                        self.disruptions.push((at + ms(kill_delay_ms), Disruption::Kill));
                     }
-                    Act::Kill => {
+                    Disruption::Kill => {
                         drop(node);
-                        watches.clear();
-                        (node, viewer) = self.start(stage, address, &name);
+                        streams.clear();
+                        (node, viewer) = self.start_manager(scenario, address, &name);
                     }
                 }
             }
@@ -171,16 +185,16 @@
         }
     }
 
-    /// Reads what its viewer gets, as far as it is there; whether its connection holds.
-    fn hear(&self, viewer: &mut TcpStream) -> bool {
+    /// Counts the responses that have arrived at the viewer; returns false if its connection is closed.
+    fn count_responses(&self, viewer: &mut TcpStream) -> bool {
         let mut buf = [0; 8192];
         loop {
-            let got = match viewer.read(&mut buf) {
+            let length = match viewer.read(&mut buf) {
                 Ok(0) => return false,
-                Ok(got) => got,
+                Ok(length) => length,
                 Err(e) => return e.kind() == ErrorKind::WouldBlock,
             };
-            let text = String::from_utf8_lossy(&buf[..got]);
+            let text = String::from_utf8_lossy(&buf[..length]);
             self.refused.fetch_add(text.matches("RTSP/1.0 503").count(), SeqCst);
             self.served.fetch_add(text.matches("RTSP/1.0 200").count(), SeqCst);
         }
@@ -193,20 +207,20 @@
     conn
 }
 
-/// A session manager that asks for news; whether it knows of the start already.
-fn watch(conn: TcpStream) -> Option<(TcpStream, bool)> {
+/// Accepts a subscription to the command channel; the flag is true if the manager already has the update.
+fn accept_stream(conn: TcpStream) -> Option<(TcpStream, bool)> {
     conn.set_nonblocking(false).unwrap();
-    conn.set_read_timeout(Some(crate::platform::LONG)).unwrap();
+    conn.set_read_timeout(Some(crate::platform::TIMEOUT)).unwrap();
     let mut conn = conn;
-    let head = crate::platform::head(&mut conn).to_lowercase();
+    let head = crate::platform::read_head(&mut conn).to_lowercase();
     let last: u64 = head.lines().find_map(|l| l.strip_prefix("last-event-id: "))?.parse().ok()?;
     match conn.write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n") {
         Err(e) if e.kind() == ErrorKind::BrokenPipe => None,
-        _ => Some((conn, last > FIRST)),
+        _ => Some((conn, last > INITIAL_CURSOR)),
     }
 }
 
-/// The entry of the cold server, under its one name.
-pub fn entry(server: &Server, since: u64) -> Value {
-    endpoint(0, server.address, "in_service", since)
+/// List entry of the cold server.
+pub fn list_entry(server: &Server, since_ms: u64) -> Value {
+    endpoint(0, server.address, "in_service", since_ms)
 }
--- a/crates/cli/tests/ramp/server.rs
+++ b/crates/cli/tests/ramp/server.rs
@@ -1,4 +1,4 @@
-//! The cold server's stand-in.
+//! Fake cold server.
 
 use super::ms;
 use serde_json::{json, Value};
@@ -9,99 +9,101 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant, SystemTime};
 
-/// What the stand-in's socket saw since its last start.
+/// Connections and set-ups since the last start of the server.
 #[derive(Default)]
-struct Seen {
+struct Received {
     conns: Vec<TcpStream>,
-    came: Vec<(Instant, usize)>,
+    /// Arrival time and index of the session manager.
+    setups: Vec<(Instant, usize)>,
 }
 
-/// A video server that answers each set-up at once.
+/// Video server that answers each set-up at once and can be stopped and started.
 pub struct Server {
     pub address: SocketAddr,
-    up: Arc<AtomicBool>,
-    over: Arc<AtomicBool>,
-    seen: Arc<Mutex<Seen>>,
+    running: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
+    received: Arc<Mutex<Received>>,
 }
 
 impl Server {
-    /// At a loopback address of its own: nobody takes its port while it is down.
+    /// Listens on `host`, a loopback address that no other test uses, so that its port stays free while it is stopped.
     pub fn new(host: [u8; 4]) -> Server {
-        let first = TcpListener::bind((Ipv4Addr::from(host), 0)).unwrap();
-        let address = first.local_addr().unwrap();
-        let (up, over, seen) = (Arc::new(AtomicBool::new(true)), Arc::default(), Arc::default());
-        let server = Server { address, up, over, seen };
-        let (up, over, seen) = (server.up.clone(), server.over.clone(), server.seen.clone());
+        let first_listener = TcpListener::bind((Ipv4Addr::from(host), 0)).unwrap();
+        let address = first_listener.local_addr().unwrap();
+        let (running, shutdown, received) = (Arc::new(AtomicBool::new(true)), Arc::default(), Arc::default());
+        let server = Server { address, running, shutdown, received };
+        let (running, shutdown, received) =
+            (server.running.clone(), server.shutdown.clone(), server.received.clone());
         spawn(move || {
-            let mut listener = Some(first);
-            while !over.load(SeqCst) {
-                if !up.load(SeqCst) {
+            let mut listener = Some(first_listener);
+            while !shutdown.load(SeqCst) {
+                if !running.load(SeqCst) {
                     listener = None;
-                    for conn in std::mem::take(&mut seen.lock().unwrap().conns) {
+                    for conn in std::mem::take(&mut received.lock().unwrap().conns) {
                         let _ = socket2::SockRef::from(&conn).set_linger(Some(Duration::ZERO));
                         let _ = conn.shutdown(Shutdown::Both);
                     }
                 } else {
-                    let listener = listener.get_or_insert_with(|| bind_again(address));
+                    let listener = listener.get_or_insert_with(|| rebind(address));
                     listener.set_nonblocking(true).unwrap();
                     while let Ok((conn, _)) = listener.accept() {
-                        serve(conn, &seen);
+                        serve(conn, &received);
                     }
                 }
                 sleep(ms(1));
             }
-            seen.lock().unwrap().conns.iter().for_each(|c| drop(c.shutdown(Shutdown::Both)));
+            received.lock().unwrap().conns.iter().for_each(|c| drop(c.shutdown(Shutdown::Both)));
         });
         server
     }
 
-    /// Its process dies.
-    pub fn dies(&self) {
-        self.up.store(false, SeqCst);
+    /// Closes the listener and resets all connections.
+    pub fn stop(&self) {
+        self.running.store(false, SeqCst);
     }
 
-    /// It starts, cold: when, by its clock and in Unix milliseconds.
-    pub fn starts(&self) -> (Instant, u64) {
-        self.seen.lock().unwrap().came.clear();
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64;
-        self.up.store(true, SeqCst);
-        (Instant::now(), unix)
+    /// Starts the server cold; returns the start time, also in Unix ms.
+    pub fn start_cold(&self) -> (Instant, u64) {
+        self.received.lock().unwrap().setups.clear();
+        let unix_ms = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64;
+        self.running.store(true, SeqCst);
+        (Instant::now(), unix_ms)
     }
 
-    /// When set-ups came, and from whom.
-    pub fn came(&self) -> Vec<(Instant, usize)> {
-        self.seen.lock().unwrap().came.clone()
+    /// Arrival times of the set-ups and the indices of the session managers that sent them.
+    pub fn setups(&self) -> Vec<(Instant, usize)> {
+        self.received.lock().unwrap().setups.clone()
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.over.store(true, SeqCst);
+        self.shutdown.store(true, SeqCst);
     }
 }
 
-fn serve(conn: TcpStream, seen: &Arc<Mutex<Seen>>) {
+fn serve(conn: TcpStream, received: &Arc<Mutex<Received>>) {
     conn.set_nonblocking(false).unwrap();
     conn.set_nodelay(true).unwrap();
-    seen.lock().unwrap().conns.push(conn.try_clone().unwrap());
-    let seen = seen.clone();
+    received.lock().unwrap().conns.push(conn.try_clone().unwrap());
+    let received = received.clone();
     spawn(move || {
-        let mut out = conn.try_clone().unwrap();
+        let mut writer = conn.try_clone().unwrap();
         for line in BufReader::new(conn).lines() {
-            let (Ok(line), at) = (line, Instant::now()) else { return };
+            let (Ok(line), received_at) = (line, Instant::now()) else { return };
             let line: Value = serde_json::from_str(&line).unwrap();
             if line["verb"] == "START" {
                 let tag = line["tag"].as_str().unwrap();
                 let front = u64::from_str_radix(tag, 16).unwrap() >> 32;
-                seen.lock().unwrap().came.push((at, front as usize));
+                received.lock().unwrap().setups.push((received_at, front as usize));
                 let answer = json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "v=0"});
-                let _ = out.write_all(format!("{answer}\n").as_bytes());
+                let _ = writer.write_all(format!("{answer}\n").as_bytes());
             }
         }
     });
 }
 
-/// Its address, as soon as what stood there is gone.
-fn bind_again(address: SocketAddr) -> TcpListener {
-    crate::platform::until("its address is free", || TcpListener::bind(address).ok())
+/// Binds the address again once the previous listener has released it.
+fn rebind(address: SocketAddr) -> TcpListener {
+    crate::platform::wait_for("the address is free", || TcpListener::bind(address).ok())
 }
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! Lives of one front, one after the other or two at once: processes, killed outright.
+//! Processes of one front, in succession or two at once: after SIGKILL a front recovers its log of paid set-ups, or
+//! refuses paid sessions where the log cannot be trusted.
 
 mod common;
 
@@ -7,84 +8,91 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver};
 
-/// A life that has a list.
-fn ready(config: &Path) -> (Life, SocketAddr, SocketAddr) {
-    let (child, address, side) = front(config);
-    until_ready(side);
-    (child, address, side)
+/// Starts a front and waits until it has a server list.
+fn start_ready_front(config: &Path) -> (ProcessGuard, SocketAddr, SocketAddr) {
+    let (process, address, side) = start_front(config);
+    wait_until_ready(side);
+    (process, address, side)
 }
 
-/// A folder, a server and discovery, and the settings of a front of them.
-fn site(name: &str, more: &str) -> (PathBuf, Receiver<Saw>, PathBuf) {
-    let dir = folder(name);
-    let (tx, saw) = channel();
-    let config = settings(&dir, discovery(server(tx)), more);
-    (dir, saw, config)
+/// Starts a server and discovery; returns a directory, the events of the server and the settings file of a front.
+fn start_site(name: &str, keep_options: &str) -> (PathBuf, Receiver<ServerEvent>, PathBuf) {
+    let dir = temp_dir(name);
+    let (tx, events) = channel();
+    let config = write_settings(&dir, start_discovery(start_server(tx)), keep_options);
+    (dir, events, config)
 }
 
-fn kill(mut child: Life) {
-    child.kill().unwrap();
-    child.wait().unwrap();
+fn kill(mut process: ProcessGuard) {
+    process.kill().unwrap();
+    process.wait().unwrap();
 }
 
-const AT_START: &str = "cmcd-session: sid=\"one\"\r\ncmcd-request: su\r\n";
+/// Headers of the first request of a session.
+const SESSION_START: &str = "cmcd-session: sid=\"one\"\r\ncmcd-request: su\r\n";
 
+/// A paid set-up is in progress when its front is killed. A later process must not repeat it for the same session id.
 #[test]
-fn a_paid_set_up_that_may_have_run_is_not_sent_again_by_the_next_life_that_is_asked_as_at_its_start() {
-    let (_dir, saw, config) = site("paid-life", "");
-    let (child, address, _) = ready(&config);
-    let _viewer = ask(address, "/club/paid/t/0", AT_START);
-    assert_eq!(saw.recv_timeout(LONG).unwrap(), Saw::Setup("one".into()));
-    kill(child);
-    assert_eq!(saw.recv_timeout(LONG).unwrap(), Saw::Closed);
-    for life in 0..2 {
-        let (child, address, _) = ready(&config);
-        let again = whole(ask(address, "/club/paid/t/0", AT_START));
-        assert!(again.starts_with("HTTP/1.1 502") && again.contains("set-up-before"), "life {life}: {again}");
-        let other = AT_START.replace("one", &format!("new-{life}"));
-        let new = whole(ask(address, "/club/paid/t/0", &other));
-        assert!(new.starts_with("HTTP/1.1 200"), "life {life}: {new}");
-        assert_eq!(saw.recv_timeout(LONG).unwrap(), Saw::Setup(format!("new-{life}")));
-        kill(child);
+fn paid_set_up_in_progress_at_a_kill_is_not_repeated_by_later_processes() {
+    let (_dir, events, config) = start_site("paid-process", "");
+    let (process, address, _) = start_ready_front(&config);
+    let _viewer = send_get(address, "/club/paid/t/0", SESSION_START);
+    assert_eq!(events.recv_timeout(TIMEOUT).unwrap(), ServerEvent::Setup("one".into()));
+    kill(process);
+    assert_eq!(events.recv_timeout(TIMEOUT).unwrap(), ServerEvent::Closed);
+    for restart in 0..2 {
+        let (process, address, _) = start_ready_front(&config);
+        let again = read_response(send_get(address, "/club/paid/t/0", SESSION_START));
+        assert!(
+            again.starts_with("HTTP/1.1 502") && again.contains("set-up-before"),
+            "restart {restart}: {again}"
+        );
+        let other = SESSION_START.replace("one", &format!("new-{restart}"));
+        let new = read_response(send_get(address, "/club/paid/t/0", &other));
+        assert!(new.starts_with("HTTP/1.1 200"), "restart {restart}: {new}");
+        assert_eq!(events.recv_timeout(TIMEOUT).unwrap(), ServerEvent::Setup(format!("new-{restart}")));
+        kill(process);
     }
-    assert!(saw.try_recv().is_err(), "and nothing else was sent");
+    assert!(events.try_recv().is_err(), "no other set-up was sent");
 }
 
+/// A log of paid set-ups that is missing, corrupt or an old copy does not prove what earlier processes sent: paid
+/// sessions are refused.
 #[test]
-fn deeds_that_are_gone_garbled_or_older_than_the_last_death_are_not_believed() {
-    type Spoil = fn(&std::path::Path);
-    let ways: [(&str, Spoil); 3] = [
-        ("gone", |deeds| std::fs::remove_file(deeds).unwrap()),
-        ("garbled", |deeds| {
-            let mut bytes = std::fs::read(deeds).unwrap();
+fn paid_sessions_are_refused_after_a_missing_corrupt_or_outdated_log() {
+    type Damage = fn(&std::path::Path);
+    let ways: [(&str, Damage); 3] = [
+        ("gone", |log| std::fs::remove_file(log).unwrap()),
+        ("garbled", |log| {
+            let mut bytes = std::fs::read(log).unwrap();
             bytes[20] ^= 0xff;
-            std::fs::write(deeds, bytes).unwrap();
+            std::fs::write(log, bytes).unwrap();
         }),
-        // An old copy put back: as its own last deed has it, it last changed long before now.
-        ("changed", |deeds| {
+        // As an old copy put back: the file changed long after its last record was written.
+        ("changed", |log| {
             std::thread::sleep(std::time::Duration::from_millis(2_200));
-            let bytes = std::fs::read(deeds).unwrap();
-            std::fs::write(deeds, bytes).unwrap();
+            let bytes = std::fs::read(log).unwrap();
+            std::fs::write(log, bytes).unwrap();
         }),
     ];
-    for (name, spoil) in ways {
-        let (dir, _saw, config) = site(&format!("spoilt-{name}"), "");
-        let (child, _, _) = ready(&config);
-        kill(child);
-        spoil(&dir.join("front.keep.deeds"));
-        let (child, address, side) = ready(&config);
-        let paid = whole(ask(address, "/club/paid/t/0", AT_START));
+    for (name, damage) in ways {
+        let (dir, _events, config) = start_site(&format!("spoilt-{name}"), "");
+        let (process, _, _) = start_ready_front(&config);
+        kill(process);
+        damage(&dir.join("front.keep.deeds"));
+        let (process, address, side) = start_ready_front(&config);
+        let paid = read_response(send_get(address, "/club/paid/t/0", SESSION_START));
         assert!(paid.starts_with("HTTP/1.1 502") && paid.contains("unproven"), "{name}: {paid}");
-        let health = whole(ask(side, "/health", ""));
+        let health = read_response(send_get(side, "/health", ""));
         assert!(!health.contains("earlier lives are proven"), "{name}: {health}");
-        kill(child);
+        kill(process);
     }
 }
 
 #[test]
-fn a_second_process_of_one_front_does_not_start_and_the_first_goes_on() {
-    let (_dir, saw, config) = site("twice", "");
-    let (child, address, _) = ready(&config);
+fn second_process_of_one_front_does_not_start_and_the_first_keeps_running() {
+    let (_dir, events, config) = start_site("twice", "");
+    let (process, address, _) = start_ready_front(&config);
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_cloverhollow"))
         .args(["serve", "--config"])
         .arg(&config)
@@ -93,76 +101,77 @@
     let error = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(1), "{error}");
     assert!(error.contains("another process of this front holds it"), "{error}");
-    // The first one's store and deeds are as they were.
-    let _viewer = ask(address, "/club/paid/t/0", AT_START);
-    assert_eq!(saw.recv_timeout(LONG).unwrap(), Saw::Setup("one".into()));
-    kill(child);
-    let (child, address, _) = ready(&config);
-    let again = whole(ask(address, "/club/paid/t/0", AT_START));
+    // The store and the log of the first process are unchanged.
+    let _viewer = send_get(address, "/club/paid/t/0", SESSION_START);
+    assert_eq!(events.recv_timeout(TIMEOUT).unwrap(), ServerEvent::Setup("one".into()));
+    kill(process);
+    let (process, address, _) = start_ready_front(&config);
+    let again = read_response(send_get(address, "/club/paid/t/0", SESSION_START));
     assert!(again.contains("set-up-before"), "{again}");
-    kill(child);
+    kill(process);
 }
 
 #[test]
-fn a_front_that_dies_again_and_again_says_so_and_tells_viewers_when_to_come_back() {
-    let dir = folder("loop");
-    let (tx, _saw) = channel();
-    // Deaths of an hour count, so that no pace of the machine lets one be forgotten.
-    let more = ", restarts: {window_ms: 3600000, free: 2, first_ms: 60000, most_ms: 60000}";
-    let config = settings(&dir, discovery(server(tx)), more);
+fn front_that_crashes_repeatedly_reports_it_and_sends_viewers_a_retry_after() {
+    let dir = temp_dir("loop");
+    let (tx, _events) = channel();
+    // The window is one hour, so that all crashes count even on a slow machine.
+    let restarts = ", restarts: {window_ms: 3600000, free: 2, first_ms: 60000, most_ms: 60000}";
+    let config = write_settings(&dir, start_discovery(start_server(tx)), restarts);
     for _ in 0..3 {
-        let (child, _, _) = ready(&config);
-        kill(child);
+        let (process, _, _) = start_ready_front(&config);
+        kill(process);
     }
-    let (child, address, side) = front(&config);
-    let health = whole(ask(side, "/health", ""));
+    let (process, address, side) = start_front(&config);
+    let health = read_response(send_get(side, "/health", ""));
     assert!(
         health.starts_with("HTTP/1.1 503") && health.contains("3 deaths one after the other"),
         "{health}"
     );
-    let viewer = whole(ask(address, "/club/paid/t/0", AT_START));
-    assert!(viewer.starts_with("HTTP/1.1 503") && viewer.contains("backing-off"), "{viewer}");
-    assert!(viewer.contains("retry-after: "), "{viewer}");
-    kill(child);
+    let response = read_response(send_get(address, "/club/paid/t/0", SESSION_START));
+    assert!(response.starts_with("HTTP/1.1 503") && response.contains("backing-off"), "{response}");
+    assert!(response.contains("retry-after: "), "{response}");
+    kill(process);
 }
 
 #[test]
-fn a_front_that_is_stopped_in_order_never_backs_off() {
-    let more = ", restarts: {window_ms: 3600000, free: 0, first_ms: 60000, most_ms: 60000}";
-    let (_dir, _saw, config) = site("in-order", more);
+fn front_stopped_by_sigterm_never_backs_off() {
+    let restarts = ", restarts: {window_ms: 3600000, free: 0, first_ms: 60000, most_ms: 60000}";
+    let (_dir, _events, config) = start_site("in-order", restarts);
     for _ in 0..4 {
-        let (mut child, _, _) = ready(&config);
-        let pid = child.id().to_string();
-        let asked = std::process::Command::new("kill").args(["-TERM", &pid]).status().unwrap();
-        assert!(asked.success() && child.wait().unwrap().success());
+        let (mut process, _, _) = start_ready_front(&config);
+        let pid = process.id().to_string();
+        let sent = std::process::Command::new("kill").args(["-TERM", &pid]).status().unwrap();
+        assert!(sent.success() && process.wait().unwrap().success());
     }
 }
 
 #[test]
-fn on_a_full_disk_no_paid_set_up_goes_out_and_viewers_and_operators_are_told() {
-    let (_dir, saw, config) = site("full", "");
-    let (child, address, side) = front_without_room(&config);
+fn on_a_full_disk_paid_set_ups_are_refused_and_health_reports_it() {
+    let (_dir, events, config) = start_site("full", "");
+    let (process, address, side) = start_front_on_full_disk(&config);
     let health = loop {
-        let health = whole(ask(side, "/health", ""));
+        let health = read_response(send_get(side, "/health", ""));
         if health.contains("\"servers_serving\":1") {
             break health;
         }
     };
     assert!(health.contains("paid set-ups cannot be taken down"), "{health}");
-    let viewer = whole(ask(address, "/club/paid/t/0", AT_START));
-    assert!(viewer.starts_with("HTTP/1.1 503") && viewer.contains("not-kept"), "{viewer}");
-    assert!(saw.try_recv().is_err(), "nothing went out");
-    kill(child);
+    let response = read_response(send_get(address, "/club/paid/t/0", SESSION_START));
+    assert!(response.starts_with("HTTP/1.1 503") && response.contains("not-kept"), "{response}");
+    assert!(events.try_recv().is_err(), "no set-up was sent");
+    kill(process);
 }
 
+/// A front is killed while it waits for the knowledge of its peers; the log of the process before is still used.
 #[test]
-fn a_death_during_the_warm_start_loses_nothing_of_the_life_before() {
-    let (_dir, saw, config) = site("warming", "");
-    let (child, address, _) = ready(&config);
-    let _viewer = ask(address, "/club/paid/t/0", AT_START);
-    assert_eq!(saw.recv_timeout(LONG).unwrap(), Saw::Setup("one".into()));
-    kill(child);
-    // A peer that takes the question and never answers.
+fn crash_during_the_warm_start_keeps_the_log_of_the_previous_process() {
+    let (_dir, events, config) = start_site("warming", "");
+    let (process, address, _) = start_ready_front(&config);
+    let _viewer = send_get(address, "/club/paid/t/0", SESSION_START);
+    assert_eq!(events.recv_timeout(TIMEOUT).unwrap(), ServerEvent::Setup("one".into()));
+    kill(process);
+    // A peer that accepts the request and never responds.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let peers = format!(
         "peers: {{addresses: [\"{}\"], hold_ms: 60000, deadline_ms: 60000, jitter_ms: 0}}\n",
@@ -170,59 +179,60 @@
     );
     let text = std::fs::read_to_string(&config).unwrap();
     std::fs::write(&config, text.clone() + &peers).unwrap();
-    let (child, _, side) = front(&config);
-    let _asked = silent.accept().unwrap();
-    assert!(whole(ask(side, "/health", "")).contains("\"level\":\"warming\""));
-    kill(child);
+    let (process, _, side) = start_front(&config);
+    let _request = silent.accept().unwrap();
+    assert!(read_response(send_get(side, "/health", "")).contains("\"level\":\"warming\""));
+    kill(process);
     std::fs::write(&config, text).unwrap();
-    let (child, address, _) = ready(&config);
-    let again = whole(ask(address, "/club/paid/t/0", AT_START));
+    let (process, address, _) = start_ready_front(&config);
+    let again = read_response(send_get(address, "/club/paid/t/0", SESSION_START));
     assert!(again.starts_with("HTTP/1.1 502") && again.contains("set-up-before"), "{again}");
-    kill(child);
+    kill(process);
 }
 
-fn signal(life: &Life, name: &str) {
-    let sent = std::process::Command::new("kill").args([name, &life.id().to_string()]).status().unwrap();
+fn signal(process: &ProcessGuard, name: &str) {
+    let sent = std::process::Command::new("kill").args([name, &process.id().to_string()]).status().unwrap();
     assert!(sent.success());
 }
 
+/// A front is stopped with SIGSTOP past the deadline of a request, in each state of that request.
 #[test]
-fn a_front_that_stands_still_past_each_deadline_answers_once_and_sets_nothing_up_twice() {
-    // A deadline of a second and a half, and two seconds and a half of standing still.
-    let still = std::time::Duration::from_millis(2_500);
-    let (_dir, saw, config) = site("still", "");
+fn front_stopped_past_a_deadline_responds_once_and_repeats_no_set_up() {
+    // Longer than the deadline of 1.5 s.
+    let pause = std::time::Duration::from_millis(2_500);
+    let (_dir, events, config) = start_site("still", "");
     let text = std::fs::read_to_string(&config).unwrap().replace("deadline_ms: 15000", "deadline_ms: 1500");
     std::fs::write(&config, text).unwrap();
-    let (life, address, side) = ready(&config);
-    // Stopped while a paid set-up is out: its time is up meanwhile.
-    let viewer = ask(address, "/club/paid/t/0", AT_START);
-    assert_eq!(saw.recv_timeout(LONG).unwrap(), Saw::Setup("one".into()));
-    signal(&life, "-STOP");
-    std::thread::sleep(still);
-    signal(&life, "-CONT");
-    let answer = whole(viewer);
+    let (process, address, side) = start_ready_front(&config);
+    // Stopped while a paid set-up is in progress: its deadline passes meanwhile.
+    let viewer = send_get(address, "/club/paid/t/0", SESSION_START);
+    assert_eq!(events.recv_timeout(TIMEOUT).unwrap(), ServerEvent::Setup("one".into()));
+    signal(&process, "-STOP");
+    std::thread::sleep(pause);
+    signal(&process, "-CONT");
+    let answer = read_response(viewer);
     assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
     assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
-    assert_eq!(saw.recv_timeout(LONG).unwrap(), Saw::Closed);
-    // Stopped before a request is read: it is a call like any other afterwards.
-    let again = whole(ask(address, "/club/paid/t/0", AT_START));
+    assert_eq!(events.recv_timeout(TIMEOUT).unwrap(), ServerEvent::Closed);
+    // Stopped before a request is read: it is then handled like any other.
+    let again = read_response(send_get(address, "/club/paid/t/0", SESSION_START));
     assert!(again.contains("set-up-before"), "{again}");
-    signal(&life, "-STOP");
-    let late = ask(address, "/club/paid/t/0", &AT_START.replace("one", "late"));
-    std::thread::sleep(still);
-    signal(&life, "-CONT");
-    let answer = whole(late);
+    signal(&process, "-STOP");
+    let late = send_get(address, "/club/paid/t/0", &SESSION_START.replace("one", "late"));
+    std::thread::sleep(pause);
+    signal(&process, "-CONT");
+    let answer = read_response(late);
     assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
-    // The server's silence before may have put it at rest: then the viewer is refused, and nothing went out.
+    // The earlier time-out may have suspended the server: then the viewer is refused and no set-up is sent.
     let mut setups = Vec::new();
     if answer.starts_with("HTTP/1.1 200") {
-        setups.push(saw.recv_timeout(LONG).unwrap());
+        setups.push(events.recv_timeout(TIMEOUT).unwrap());
     }
-    assert!(setups.iter().all(|s| *s == Saw::Setup("late".into())), "{setups:?}");
-    // Stopped while it is idle, then asked by its operator.
-    signal(&life, "-STOP");
-    std::thread::sleep(still);
-    signal(&life, "-CONT");
-    until_ready(side);
-    assert!(saw.try_recv().is_err(), "nothing more went out");
+    assert!(setups.iter().all(|s| *s == ServerEvent::Setup("late".into())), "{setups:?}");
+    // Stopped while idle, then queried at the side address.
+    signal(&process, "-STOP");
+    std::thread::sleep(pause);
+    signal(&process, "-CONT");
+    wait_until_ready(side);
+    assert!(events.try_recv().is_err(), "no further set-up was sent");
 }
--- a/crates/cli/tests/stop_permits.rs
+++ b/crates/cli/tests/stop_permits.rs
@@ -1,4 +1,4 @@
-//! Fronts that are told to stop go out one after the other: five processes, three of them witnesses.
+//! Permits that limit how many fronts are out of service at once: five front processes, three of them witnesses.
 
 mod supervised;
 
@@ -6,112 +6,121 @@
 use std::sync::atomic::Ordering::SeqCst;
 use supervised::*;
 
-fn waits(_: usize) -> String {
+/// Permit settings with a wait longer than any test.
+fn long_wait(_: usize) -> String {
     format!("wait_ms: {WAIT_MS}")
 }
 
-const ONE_HALL: [&str; 5] = ["a"; 5];
+const ONE_ZONE: [&str; 5] = ["a"; 5];
 
 #[test]
-fn all_told_in_one_instant_go_one_after_the_other_and_all_come_back() {
-    let fleet = Fleet::start("out-all", &ONE_HALL, "fleet: 1, hall: 1", waits);
+fn fronts_signalled_at_once_restart_one_at_a_time() {
+    let fleet = Fleet::start("out-all", &ONE_ZONE, "fleet: 1, hall: 1", long_wait);
     fleet.fronts.iter().for_each(|f| f.signal(Signal::TERM));
-    fleet.until("all have gone and are back", || {
-        let back = |f: &One| f.ends.load(SeqCst) >= 1 && !f.ended.load(SeqCst) && f.is_ready();
+    fleet.wait_until("all have restarted and are ready", || {
+        let back = |f: &SupervisedFront| f.exits.load(SeqCst) >= 1 && !f.is_out.load(SeqCst) && f.is_ready();
         fleet.fronts.iter().all(back)
     });
-    assert_eq!(fleet.most.load(SeqCst), 1, "out at once");
+    assert_eq!(fleet.max_out.load(SeqCst), 1, "fronts out at once");
     for (n, f) in fleet.fronts.iter().enumerate() {
-        assert_eq!(f.ends.load(SeqCst), 1, "front {n} went once");
+        assert_eq!(f.exits.load(SeqCst), 1, "front {n} stopped once");
         let log = f.log();
         assert!(log.contains("goes out under its permit") && !log.contains("without a permit"), "{log}");
     }
-    fleet.until("all permits are given back", || {
-        fleet.fronts.iter().all(|f| f.out()["owed"] == 0) && fleet.most.load(SeqCst) == 1
+    fleet.wait_until("all permits are released", || {
+        fleet.fronts.iter().all(|f| f.permit_status()["owed"] == 0) && fleet.max_out.load(SeqCst) == 1
     });
 }
 
 #[test]
-fn one_that_died_counts_as_out_and_the_others_wait_serving_until_it_is_back() {
-    let fleet = Fleet::start("out-dead", &ONE_HALL, "fleet: 1, hall: 1", waits);
-    let (dead, told) = (&fleet.fronts[4], [0, 3]);
-    dead.again.store(false, SeqCst);
-    dead.signal(Signal::KILL);
-    fleet.until("it is missed", || (0..4).all(|n| fleet.counts_out(n, 4)));
-    told.iter().for_each(|n| fleet.fronts[*n].signal(Signal::TERM));
-    fleet.until("they were denied for its sake, and serve on", || {
-        told.iter().all(|n| {
-            let (f, out) = (&fleet.fronts[*n], fleet.fronts[*n].out());
+fn crashed_front_counts_as_out_and_others_keep_serving_until_it_is_back() {
+    let fleet = Fleet::start("out-dead", &ONE_ZONE, "fleet: 1, hall: 1", long_wait);
+    let (crashed, signalled) = (&fleet.fronts[4], [0, 3]);
+    crashed.restart_enabled.store(false, SeqCst);
+    crashed.signal(Signal::KILL);
+    fleet.wait_until("the others count it as out", || (0..4).all(|n| fleet.counts_as_out(n, 4)));
+    signalled.iter().for_each(|n| fleet.fronts[*n].signal(Signal::TERM));
+    fleet.wait_until("both are denied a permit and keep serving", || {
+        signalled.iter().all(|n| {
+            let (f, out) = (&fleet.fronts[*n], fleet.fronts[*n].permit_status());
             out["wanted"] == true && out["reason"] == "as many of the fleet are out as may be" && f.is_ready()
         })
     });
-    assert!(told.iter().all(|n| fleet.fronts[*n].ends.load(SeqCst) == 0));
-    dead.again.store(true, SeqCst);
-    fleet.until("both have gone and are back", || {
-        told.iter().all(|n| fleet.fronts[*n].ends.load(SeqCst) == 1 && fleet.fronts[*n].is_ready())
+    assert!(signalled.iter().all(|n| fleet.fronts[*n].exits.load(SeqCst) == 0));
+    crashed.restart_enabled.store(true, SeqCst);
+    fleet.wait_until("both have restarted and are ready", || {
+        signalled.iter().all(|n| fleet.fronts[*n].exits.load(SeqCst) == 1 && fleet.fronts[*n].is_ready())
     });
-    assert_eq!(fleet.most.load(SeqCst), 1, "out at once");
+    assert_eq!(fleet.max_out.load(SeqCst), 1, "fronts out at once");
 }
 
 #[test]
-fn permits_outlive_one_witness_and_none_is_given_without_a_majority() {
-    let more = |n| if n == 4 { "wait_ms: 4000".into() } else { waits(n) };
-    // So many that no limit is in the way: what is missing is the majority alone.
-    let fleet = Fleet::start("out-witnesses", &ONE_HALL, "fleet: 4, hall: 4", more);
-    fleet.fronts[0].again.store(false, SeqCst);
-    fleet.until("the witnesses see", || (0..3).any(|n| fleet.fronts[n].out()["witness"] != "blind"));
-    // One change while all three live: from then on each of them sees.
-    let asked = fleet.command(3, "out");
-    assert!(asked.contains("asked: it goes out once it holds a permit"), "{asked}");
-    fleet.until("it has gone and is back", || {
-        fleet.fronts[3].ends.load(SeqCst) == 1 && fleet.fronts[3].is_ready()
+fn permits_are_granted_with_two_of_three_witnesses_and_not_with_one() {
+    let extra_out = |n| if n == 4 { "wait_ms: 4000".into() } else { long_wait(n) };
+    // The limits allow four fronts out, so that only a missing majority can prevent a permit.
+    let fleet = Fleet::start("out-witnesses", &ONE_ZONE, "fleet: 4, hall: 4", extra_out);
+    fleet.fronts[0].restart_enabled.store(false, SeqCst);
+    fleet.wait_until("a witness has left the recovering state", || {
+        (0..3).any(|n| fleet.fronts[n].permit_status()["witness"] != "blind")
     });
-    fleet.until("all witnesses see", || (0..3).all(|n| fleet.fronts[n].out()["witness"] == "sees"));
-    let status = fleet.command(1, "status");
+    // After one change with all three running, each of them has a current state.
+    let output = fleet.run_command(3, "out");
+    assert!(output.contains("asked: it goes out once it holds a permit"), "{output}");
+    fleet.wait_until("it has restarted and is ready", || {
+        fleet.fronts[3].exits.load(SeqCst) == 1 && fleet.fronts[3].is_ready()
+    });
+    fleet.wait_until("all witnesses have a current state", || {
+        (0..3).all(|n| fleet.fronts[n].permit_status()["witness"] == "sees")
+    });
+    let status = fleet.run_command(1, "status");
     assert!(status.contains("permits: 4 of the fleet, 4 of a hall may be out at once"), "{status}");
     assert!(status.contains("witness of permits: sees"), "{status}");
     fleet.fronts[0].signal(Signal::KILL);
-    fleet.until("it is missed", || (1..5).all(|n| fleet.counts_out(n, 0)));
+    fleet.wait_until("the others count it as out", || (1..5).all(|n| fleet.counts_as_out(n, 0)));
     fleet.fronts[3].signal(Signal::TERM);
-    fleet.until("it has gone by two witnesses of three and is back", || {
-        fleet.fronts[3].ends.load(SeqCst) == 2 && fleet.fronts[3].is_ready()
+    fleet.wait_until("it has restarted with two of three witnesses and is ready", || {
+        fleet.fronts[3].exits.load(SeqCst) == 2 && fleet.fronts[3].is_ready()
     });
-    fleet.fronts[1].again.store(false, SeqCst);
+    fleet.fronts[1].restart_enabled.store(false, SeqCst);
     fleet.fronts[1].signal(Signal::KILL);
-    fleet.fronts[4].again.store(false, SeqCst);
-    fleet.command(4, "out");
-    fleet.until("asked, it stays", || fleet.fronts[4].log().contains("was asked to go out and stays"));
-    assert!(fleet.fronts[4].ends.load(SeqCst) == 0 && fleet.fronts[4].is_ready());
+    fleet.fronts[4].restart_enabled.store(false, SeqCst);
+    fleet.run_command(4, "out");
+    fleet.wait_until("it stays in service after the request", || {
+        fleet.fronts[4].log().contains("was asked to go out and stays")
+    });
+    assert!(fleet.fronts[4].exits.load(SeqCst) == 0 && fleet.fronts[4].is_ready());
     [2, 3, 4].iter().for_each(|n| fleet.fronts[*n].signal(Signal::TERM));
-    fleet.until("it has gone without a permit", || fleet.fronts[4].ends.load(SeqCst) == 1);
+    fleet.wait_until("it has stopped without a permit", || fleet.fronts[4].exits.load(SeqCst) == 1);
     let log = fleet.fronts[4].log();
     assert!(log.contains("goes out without a permit") && !log.contains("goes out under its permit"), "{log}");
-    for (n, before) in [(2, 0), (3, 2)] {
+    for (n, exits) in [(2, 0), (3, 2)] {
         let f = &fleet.fronts[n];
-        assert!(f.ends.load(SeqCst) == before && f.is_ready(), "front {n} waits and serves");
-        assert_eq!(f.out()["held"], false);
+        assert!(f.exits.load(SeqCst) == exits && f.is_ready(), "front {n} is waiting and keeps serving");
+        assert_eq!(f.permit_status()["held"], false);
     }
 }
 
 #[test]
-fn two_of_different_halls_go_at_the_same_time_and_two_of_one_do_not() {
-    let halls = ["a", "a", "a", "b", "b"];
-    let fleet = Fleet::start("out-halls", &halls, "fleet: 2, hall: 1", waits);
-    let ends = |n: usize| fleet.fronts[n].ends.load(SeqCst);
-    fleet.fronts.iter().for_each(|f| f.again.store(false, SeqCst));
+fn two_fronts_may_be_out_at_once_in_different_zones_but_not_in_one() {
+    let zones = ["a", "a", "a", "b", "b"];
+    let fleet = Fleet::start("out-halls", &zones, "fleet: 2, hall: 1", long_wait);
+    let exits = |n: usize| fleet.fronts[n].exits.load(SeqCst);
+    fleet.fronts.iter().for_each(|f| f.restart_enabled.store(false, SeqCst));
     [0, 1].iter().for_each(|n| fleet.fronts[*n].signal(Signal::TERM));
-    fleet.until("one of the two has gone", || ends(0) + ends(1) == 1);
-    let (gone, waits) = if ends(0) == 1 { (0, 1) } else { (1, 0) };
-    fleet.until("the other is denied, and serves on", || {
-        let out = fleet.fronts[waits].out();
-        out["reason"] == "as many of the hall are out as may be" && fleet.fronts[waits].is_ready()
+    fleet.wait_until("one of the two has stopped", || exits(0) + exits(1) == 1);
+    let (stopped, waiting) = if exits(0) == 1 { (0, 1) } else { (1, 0) };
+    fleet.wait_until("the other is denied a permit and keeps serving", || {
+        let out = fleet.fronts[waiting].permit_status();
+        out["reason"] == "as many of the hall are out as may be" && fleet.fronts[waiting].is_ready()
     });
     fleet.fronts[3].signal(Signal::TERM);
-    fleet.until("one of another hall goes meanwhile", || ends(3) == 1 && fleet.most.load(SeqCst) == 2);
-    assert_eq!((ends(gone), ends(waits)), (1, 0));
-    fleet.fronts.iter().for_each(|f| f.again.store(true, SeqCst));
-    fleet.until("the other of the hall has gone and is back", || {
-        ends(waits) == 1 && fleet.fronts[waits].is_ready()
+    fleet.wait_until("one in another zone stops meanwhile", || {
+        exits(3) == 1 && fleet.max_out.load(SeqCst) == 2
+    });
+    assert_eq!((exits(stopped), exits(waiting)), (1, 0));
+    fleet.fronts.iter().for_each(|f| f.restart_enabled.store(true, SeqCst));
+    fleet.wait_until("the other one in the zone has restarted and is ready", || {
+        exits(waiting) == 1 && fleet.fronts[waiting].is_ready()
     });
-    assert!(fleet.most.load(SeqCst) <= 2);
+    assert!(fleet.max_out.load(SeqCst) <= 2);
 }
--- a/crates/cli/tests/supervised/mod.rs
+++ b/crates/cli/tests/supervised/mod.rs
@@ -1,9 +1,9 @@
-//! Fleets of fronts as processes, each under a supervisor that starts it anew when it has ended.
+//! Fleets of front processes, each under a supervisor thread that restarts it when it exits.
 //!
-//! **Out** is a front from the end of its process until its next life says on `/health` that it is ready. How many are out at
-//! once is looked at whenever a process has ended, before its supervisor starts the next life: the others that have ended, or
-//! do not say now that they are ready, are out with it. So nobody counts as out that is back already, and whoever is back
-//! within the look is missed.
+//! A front is **out** from the exit of its process until the next process reports on `/health` that it is ready. The number
+//! of fronts out at once is counted whenever a process has exited, before its supervisor restarts it: all others that have
+//! exited or are not ready at that moment count too. A front that is already back is therefore never counted; one that
+//! becomes ready during the count may be missed.
 
 #[path = "../common/mod.rs"]
 pub mod common;
@@ -20,56 +20,59 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Far over anything that these tests wait for.
-pub const LONG: Duration = Duration::from_secs(150);
-/// Under it: a front that goes within has gone by a permit.
+/// Time limit of a wait, far above any time that these tests need.
+pub const TIMEOUT: Duration = Duration::from_secs(150);
+/// `out.wait_ms`, far above [`TIMEOUT`]: a front that stops within a test has stopped under a permit.
 pub const WAIT_MS: u64 = 600_000;
 
-/// So long discovery says nothing to a new life.
-const LATE: Duration = Duration::from_millis(800);
+/// Delay before discovery sends its list to a restarted front.
+const DISCOVERY_DELAY: Duration = Duration::from_millis(800);
 
+/// One front and the state of its supervisor.
 #[derive(Default)]
-pub struct One {
+pub struct SupervisedFront {
     pub config: PathBuf,
     log: PathBuf,
     pid: AtomicUsize,
     side: Mutex<Option<SocketAddr>>,
-    /// Its process has ended, and no next life was ready since.
-    pub ended: AtomicBool,
-    pub ends: AtomicUsize,
-    /// Its supervisor starts it again.
-    pub again: AtomicBool,
-    over: AtomicBool,
+    /// True from the exit of a process until the next one is ready.
+    pub is_out: AtomicBool,
+    /// Number of processes that have exited.
+    pub exits: AtomicUsize,
+    /// The supervisor restarts the front while this is set.
+    pub restart_enabled: AtomicBool,
+    shutdown: AtomicBool,
 }
 
+/// Fleet of supervised fronts, killed when dropped.
 pub struct Fleet {
-    pub fronts: Arc<Vec<One>>,
-    /// Most that were out at once, as seen at each end.
-    pub most: Arc<AtomicUsize>,
+    pub fronts: Arc<Vec<SupervisedFront>>,
+    /// Largest number of fronts out at once, counted at each exit.
+    pub max_out: Arc<AtomicUsize>,
     supervisors: Vec<std::thread::JoinHandle<()>>,
 }
 
-/// Tells its list late: a life that kept none is not ready for as long.
-fn slow_discovery(server: SocketAddr) -> SocketAddr {
-    let (listener, told) = (TcpListener::bind("127.0.0.1:0").unwrap(), discovery(server));
+/// Starts a discovery proxy that delays the list: a front without a persisted list is not ready for that time.
+fn start_slow_discovery(server: SocketAddr) -> SocketAddr {
+    let (listener, discovery) = (TcpListener::bind("127.0.0.1:0").unwrap(), start_discovery(server));
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
-                std::thread::sleep(LATE);
-                let Ok(to) = TcpStream::connect(told) else { return };
-                let (mut from, mut back) = (stream.try_clone().unwrap(), to.try_clone().unwrap());
-                std::thread::spawn(move || std::io::copy(&mut from, &mut back));
-                let (mut to, mut stream) = (to, stream);
-                let _ = std::io::copy(&mut to, &mut stream);
+                std::thread::sleep(DISCOVERY_DELAY);
+                let Ok(upstream) = TcpStream::connect(discovery) else { return };
+                let (mut input, mut output) = (stream.try_clone().unwrap(), upstream.try_clone().unwrap());
+                std::thread::spawn(move || std::io::copy(&mut input, &mut output));
+                let (mut upstream, mut stream) = (upstream, stream);
+                let _ = std::io::copy(&mut upstream, &mut stream);
             });
         }
     });
     address
 }
 
-/// One answer of a side address; nothing where there is none.
-pub fn get(side: SocketAddr, path: &str) -> Option<(bool, String)> {
+/// GET at a side address: whether the status is 200, and the body. `None` without a response.
+pub fn http_get(side: SocketAddr, path: &str) -> Option<(bool, String)> {
     let mut stream = TcpStream::connect(side).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     write!(stream, "GET {path} HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n").ok()?;
@@ -79,21 +82,23 @@
     Some((head.starts_with("HTTP/1.1 200"), body.into()))
 }
 
-impl One {
+impl SupervisedFront {
+    /// Side address of the running process.
     pub fn side(&self) -> Option<SocketAddr> {
         *self.side.lock().unwrap()
     }
 
     pub fn is_ready(&self) -> bool {
-        self.side().and_then(|s| get(s, "/health")).is_some_and(|a| a.0)
+        self.side().and_then(|s| http_get(s, "/health")).is_some_and(|a| a.0)
     }
 
-    /// What it says of permits.
-    pub fn out(&self) -> Value {
-        let page = self.side().and_then(|s| get(s, "/v1/fleet")).map(|a| a.1).unwrap_or_default();
+    /// State of the permits as reported on `/v1/fleet`.
+    pub fn permit_status(&self) -> Value {
+        let page = self.side().and_then(|s| http_get(s, "/v1/fleet")).map(|a| a.1).unwrap_or_default();
         serde_json::from_str::<Value>(&page).map(|p| p["out"].clone()).unwrap_or_default()
     }
 
+    /// Log of all processes of this front.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -103,7 +108,8 @@
         kill_process(pid, signal).unwrap();
     }
 
-    fn life(&self) -> Life {
+    /// Starts a process and waits for its ready line.
+    fn spawn(&self) -> ProcessGuard {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_cloverhollow"))
             .args(["serve", "--log-level", "info", "--config"])
@@ -117,82 +123,83 @@
         BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
         let ready: Value = serde_json::from_str(&line).unwrap_or_default();
         *self.side.lock().unwrap() = ready["side"].as_str().and_then(|s| s.parse().ok());
-        Life::from(child)
+        ProcessGuard::from(child)
     }
 }
 
-/// Lives, one after the other.
-fn supervise(n: usize, all: &[One], most: &AtomicUsize) {
-    let own = &all[n];
-    while !own.over.load(SeqCst) {
-        let mut life = own.life();
-        while !own.is_ready() && life.try_wait().unwrap().is_none() {
+/// Restarts the processes of front `n` until its shutdown.
+fn supervise(n: usize, all: &[SupervisedFront], max_out: &AtomicUsize) {
+    let front = &all[n];
+    while !front.shutdown.load(SeqCst) {
+        let mut process = front.spawn();
+        while !front.is_ready() && process.try_wait().unwrap().is_none() {
             std::thread::sleep(Duration::from_millis(5));
         }
-        own.ended.store(false, SeqCst);
-        life.wait().unwrap();
-        *own.side.lock().unwrap() = None;
-        own.ended.store(true, SeqCst);
-        own.ends.fetch_add(1, SeqCst);
-        if own.over.load(SeqCst) {
+        front.is_out.store(false, SeqCst);
+        process.wait().unwrap();
+        *front.side.lock().unwrap() = None;
+        front.is_out.store(true, SeqCst);
+        front.exits.fetch_add(1, SeqCst);
+        if front.shutdown.load(SeqCst) {
             return;
         }
-        let others = all.iter().enumerate().filter(|(m, _)| *m != n);
-        let out = others.filter(|(_, o)| !o.is_ready()).count();
-        most.fetch_max(1 + out, SeqCst);
-        // Without its last list, so that it is not ready at once.
-        let _ = std::fs::remove_file(own.config.with_extension("keep"));
-        while !own.again.load(SeqCst) && !own.over.load(SeqCst) {
+        let others = all.iter().enumerate().filter(|(other, _)| *other != n);
+        let others_out = others.filter(|(_, front)| !front.is_ready()).count();
+        max_out.fetch_max(1 + others_out, SeqCst);
+        // Without its persisted server list the next process is not ready at once.
+        let _ = std::fs::remove_file(front.config.with_extension("keep"));
+        while !front.restart_enabled.load(SeqCst) && !front.shutdown.load(SeqCst) {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
 impl Fleet {
-    /// Starts `halls.len()` fronts, the first three of them witnesses, and waits until all are ready and know each
-    /// other. `out`: the settings of permits; `more(n)`: further ones of that front.
-    pub fn start(name: &str, halls: &[&str], out: &str, more: impl Fn(usize) -> String) -> Fleet {
-        let dir = folder(name);
+    /// Starts `zones.len()` fronts, the first three of them witnesses, and waits until all are ready and know each
+    /// other. `out` holds the settings of permits, `extra_out(n)` further ones for front `n`.
+    pub fn start(name: &str, zones: &[&str], out: &str, extra_out: impl Fn(usize) -> String) -> Fleet {
+        let dir = temp_dir(name);
         let key = dir.join("members.key");
         std::fs::write(&key, "0123456789abcdef0123456789abcdef\n").unwrap();
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).unwrap();
         let (tx, _) = std::sync::mpsc::channel();
-        let discovery = slow_discovery(server(tx));
-        let sockets: Vec<_> = halls.iter().map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        let at: Vec<String> = sockets.iter().map(|s| s.local_addr().unwrap().to_string()).collect();
+        let discovery = start_slow_discovery(start_server(tx));
+        let sockets: Vec<_> = zones.iter().map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let addresses: Vec<String> = sockets.iter().map(|s| s.local_addr().unwrap().to_string()).collect();
         drop(sockets);
-        let witnesses = at[..3].join(", ");
-        let one = |(n, hall): (usize, &&str)| {
+        let witnesses = addresses[..3].join(", ");
+        let configure = |(n, zone): (usize, &&str)| {
             let text = format!(
-                "instance: {{name: front-{n}, hall: {hall}}}\nlisten: {{address: \"127.0.0.1:0\"}}\n\
+                "instance: {{name: front-{n}, hall: {zone}}}\nlisten: {{address: \"127.0.0.1:0\"}}\n\
                  side: {{address: \"127.0.0.1:0\"}}\ndiscovery: {{address: \"{discovery}\"}}\n\
                  keep: {{file: {}, restarts: {{window_ms: 0}}}}\n\
                  members: {{listen: {}, seeds: [{witnesses}], witnesses: [{witnesses}], probe_ms: 200,\n  \
                  answer_ms: 60, suspicion_ms: 2000, gossip_ms: 60, heal_ms: 400, sync_ms: 1000,\n  \
                  keys: [{{id: 1, file: {}}}]}}\nout: {{{out}, lease_ms: 8000, {}}}\n",
                 dir.join(format!("{n}.keep")).display(),
-                at[n],
+                addresses[n],
                 key.display(),
-                more(n)
+                extra_out(n)
             );
             let config = dir.join(format!("{n}.yaml"));
             std::fs::write(&config, text).unwrap();
-            let one = One { config, log: dir.join(format!("{n}.log")), ..One::default() };
-            one.again.store(true, SeqCst);
-            one.ended.store(true, SeqCst);
-            one
+            let front =
+                SupervisedFront { config, log: dir.join(format!("{n}.log")), ..SupervisedFront::default() };
+            front.restart_enabled.store(true, SeqCst);
+            front.is_out.store(true, SeqCst);
+            front
         };
-        let fronts: Arc<Vec<One>> = Arc::new(halls.iter().enumerate().map(one).collect());
-        let most = Arc::new(AtomicUsize::new(0));
-        let supervisors = (0..halls.len()).map(|n| {
-            let (fronts, most) = (fronts.clone(), most.clone());
-            std::thread::spawn(move || supervise(n, &fronts, &most))
+        let fronts: Arc<Vec<SupervisedFront>> = Arc::new(zones.iter().enumerate().map(configure).collect());
+        let max_out = Arc::new(AtomicUsize::new(0));
+        let supervisors = (0..zones.len()).map(|n| {
+            let (fronts, max_out) = (fronts.clone(), max_out.clone());
+            std::thread::spawn(move || supervise(n, &fronts, &max_out))
         });
-        let fleet = Fleet { supervisors: supervisors.collect(), fronts, most };
-        let n = halls.len();
-        fleet.until("all are ready and know each other", || {
+        let fleet = Fleet { supervisors: supervisors.collect(), fronts, max_out };
+        let n = zones.len();
+        fleet.wait_until("all are ready and know each other", || {
             fleet.fronts.iter().all(|f| {
-                let page = f.side().and_then(|s| get(s, "/v1/fleet")).map(|a| a.1).unwrap_or_default();
+                let page = f.side().and_then(|s| http_get(s, "/v1/fleet")).map(|a| a.1).unwrap_or_default();
                 let page: Value = serde_json::from_str(&page).unwrap_or_default();
                 f.is_ready() && page["view"]["at_least"] == n && page["out"]["unsure_ms"].is_number()
             })
@@ -200,39 +207,40 @@
         fleet
     }
 
-    /// Waits until that is so.
-    pub fn until(&self, what: &str, so: impl Fn() -> bool) {
-        let begun = Instant::now();
-        while !so() {
-            let pages = || self.fronts.iter().map(|f| f.out().to_string()).collect::<Vec<_>>().join("\n");
-            assert!(begun.elapsed() < LONG, "not within {LONG:?}: {what}\n{}", pages());
+    /// Waits until the condition holds.
+    pub fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
+        let started_at = Instant::now();
+        while !condition() {
+            let pages =
+                || self.fronts.iter().map(|f| f.permit_status().to_string()).collect::<Vec<_>>().join("\n");
+            assert!(started_at.elapsed() < TIMEOUT, "timed out after {TIMEOUT:?}: {what}\n{}", pages());
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// What `cloverhollow fleet` says, asked of that front.
-    pub fn command(&self, n: usize, word: &str) -> String {
+    /// Output of `cloverhollow fleet` for front `n`.
+    pub fn run_command(&self, n: usize, subcommand: &str) -> String {
         let side = self.fronts[n].side().unwrap().to_string();
         let exe = env!("CARGO_BIN_EXE_cloverhollow");
-        let said = Command::new(exe).args(["fleet", word, "--side", &side]).output().unwrap();
-        String::from_utf8_lossy(&said.stdout).into_owned() + &String::from_utf8_lossy(&said.stderr)
+        let output = Command::new(exe).args(["fleet", subcommand, "--side", &side]).output().unwrap();
+        String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
     }
 
-    /// Whether that front counts the other as out.
-    pub fn counts_out(&self, n: usize, other: usize) -> bool {
+    /// Returns whether front `n` counts front `other` as out.
+    pub fn counts_as_out(&self, n: usize, other: usize) -> bool {
         let name = format!("front-{other}");
-        let out = self.fronts[n].out();
-        out["counted_out"].as_array().is_some_and(|list| list.iter().any(|o| o["name"] == *name))
+        let out = self.fronts[n].permit_status();
+        out["counted_out"].as_array().is_some_and(|list| list.iter().any(|member| member["name"] == *name))
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.fronts.iter().for_each(|f| f.over.store(true, SeqCst));
+        self.fronts.iter().for_each(|f| f.shutdown.store(true, SeqCst));
         while self.supervisors.iter().any(|s| !s.is_finished()) {
             for f in self.fronts.iter() {
                 let pid = Pid::from_raw(f.pid.load(SeqCst) as i32);
-                if let (Some(pid), false) = (pid, f.ended.load(SeqCst) && !f.is_ready()) {
+                if let (Some(pid), false) = (pid, f.is_out.load(SeqCst) && !f.is_ready()) {
                     let _ = kill_process(pid, Signal::KILL);
                 }
             }
