--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -3,7 +3,7 @@
 use cloverhollow::Brain;
 use cloverhollow_front::{Front, Leave, StartError};
 use cloverhollow_record::Recorder;
-use cloverhollow_session::{Policy, Tap};
+use cloverhollow_session::{Policy, StepObserver};
 use cloverhollow_settings::{FrontSettings, SettingsError};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     settings: &FrontSettings,
     settings_text: String,
     seed: u64,
-) -> Result<Tap, ServeError> {
+) -> Result<StepObserver, ServeError> {
     let name = settings.instance.name.as_str();
     let begun = Recorder::begin(dir, name, settings_text, seed);
     let mut recorder =
--- a/crates/cli/tests/node_channel.rs
+++ b/crates/cli/tests/node_channel.rs
@@ -14,7 +14,7 @@
 /// Total back-off of a session manager over so many failed attempts.
 fn total_backoff(attempts: usize) -> Duration {
     let mut backoff = Backoff::new(SEED);
-    (0..attempts).map(|_| backoff.wait(Duration::ZERO, false)).sum()
+    (0..attempts).map(|_| backoff.next_delay(Duration::ZERO, false)).sum()
 }
 
 /// Fails each request with `end` and checks that the requests are at least the back-off apart; a loaded machine only makes
--- a/crates/front/src/side.rs
+++ b/crates/front/src/side.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cloverhollow_http::{Limits, Method, RequestFrame, ResponseHead};
 use cloverhollow_knowledge::{Feeds, Level, Why, MOST_PEERS};
-use cloverhollow_net::{answer, ServerConn, ServerSide};
+use cloverhollow_net::{write_response, ServerCodec, ServerConn};
 use cloverhollow_session::ServerList;
 use futures_util::StreamExt;
 use std::collections::BTreeSet;
@@ -66,7 +66,7 @@
 
     pub(crate) fn set_list(&self, list: &ServerList) {
         self.version.store(list.version(), Relaxed);
-        self.serving.store(list.serving() as u64, Relaxed);
+        self.serving.store(list.serving_count() as u64, Relaxed);
     }
 
     pub(crate) fn set_held(&self, held: usize) {
@@ -149,7 +149,7 @@
 }
 
 async fn one(stream: TcpStream, shared: &Shared, state: &State) {
-    let mut conn = Framed::new(stream, ServerSide::new(Limits::default()));
+    let mut conn = Framed::new(stream, ServerCodec::new(Limits::default()));
     let Some(Ok(RequestFrame::Head(request))) = conn.next().await else { return };
     let (status, body) = match request.target.path() {
         "/health" => health(shared, state),
@@ -168,7 +168,7 @@
 
 async fn say(conn: &mut ServerConn, mut head: ResponseHead, body: impl Into<Bytes>) {
     head.keep_alive = false;
-    let _ = answer(conn, head, body).await;
+    let _ = write_response(conn, head, body).await;
 }
 
 /// An operator asks it to go out when it may.
@@ -214,7 +214,7 @@
         "deaths": deaths,
         "level": level.word(),
         "level_why": level_why.words(),
-        "knows_servers": shared.shelf.view().servers(),
+        "knows_servers": shared.shelf.latest().servers(),
         "list_version": state.version.load(Relaxed),
         "servers_serving": serving,
         "sessions": state.held.load(Relaxed),
@@ -224,7 +224,7 @@
 }
 
 fn metrics(shared: &Shared, state: &State) -> String {
-    let mut text = shared.stats.text();
+    let mut text = shared.stats.to_prometheus();
     for (name, n) in
         [("sessions", &state.held), ("servers_serving", &state.serving), ("list_version", &state.version)]
     {
--- a/crates/lab/src/viewer_http.rs
+++ b/crates/lab/src/viewer_http.rs
@@ -11,7 +11,7 @@
 use cloverhollow_hints::{Faults, Group};
 use cloverhollow_http::{percent_encode, RequestHead, ResponseHead, Target};
 use cloverhollow_net::{connect, ClientConn, WireError};
-use cloverhollow_session::arrival::rates;
+use cloverhollow_session::arrival::rates_kbps;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,7 +56,7 @@
     }
 
     fn request(&self, v: &Viewer, sid: &str, object: usize, rung: usize) -> RequestHead {
-        let ladder = rates(&self.script.front, v.class);
+        let ladder = rates_kbps(&self.script.front, v.class);
         let duration = Millis(self.script.viewers.object_ms.get().as_millis() as u32);
         let mut r = Record {
             sid: Some(sid.into()),
@@ -128,13 +128,13 @@
             }
         };
         let exchange = async {
-            conn.send(self.request(v, sid, 0, 0), Bytes::new()).await?;
-            let head = conn.head().await?;
+            conn.send_request(self.request(v, sid, 0, 0), Bytes::new()).await?;
+            let head = conn.read_head().await?;
             let waited = self.log.now() - begun;
             let told = heard(&head);
             // The one answer is there with its head; what is cut later is a break of play.
             ended(Got::Status { status: told.status, reason: told.reason.clone() });
-            while conn.data().await?.is_some() {}
+            while conn.read_body_chunk().await?.is_some() {}
             Ok::<_, WireError>((told, waited))
         };
         let hang_up = v.hang_up.unwrap_or(patience + Duration::from_secs(60));
@@ -156,7 +156,7 @@
                 return Err(Try::Again(Duration::ZERO));
             }
         };
-        if conn.has_unasked() {
+        if conn.has_unsolicited_data() {
             self.log.put(Seen::Stray { call, sid: sid.clone() });
         }
         self.tally.answered(told.status, waited);
--- a/crates/node/src/mail.rs
+++ b/crates/node/src/mail.rs
@@ -2,12 +2,12 @@
 
 use crate::viewer::{ViewerHold, Waits};
 use bytes::Bytes;
-use cloverhollow_net::{Clock, Gate};
-use cloverhollow_platform::channel::Told;
+use cloverhollow_net::{Clock, SendDecision};
+use cloverhollow_platform::channel::ChannelUpdate;
 use cloverhollow_platform::config::Config;
 use cloverhollow_platform::lines::Line;
-use cloverhollow_platform::standing::ConnId;
-use cloverhollow_platform::watch::{Down, LinkId};
+use cloverhollow_platform::link_monitor::{LinkEndReason, LinkId};
+use cloverhollow_platform::session_registry::ConnId;
 use cloverhollow_session::AttemptId;
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     pub(crate) attempt: AttemptId,
     pub(crate) line: Bytes,
     /// Settles whether its first byte goes out.
-    pub(crate) gate: Arc<Gate>,
+    pub(crate) gate: Arc<SendDecision>,
     /// If it has not gone out by then, it never does.
     pub(crate) until: Duration,
     pub(crate) clock: Clock,
@@ -61,7 +61,7 @@
     pub(crate) fn pass(&self) -> Passed {
         if self.clock.now() > self.until || self.waits.as_ref().is_some_and(Waits::has_left) {
             Passed::Moot
-        } else if self.gate.send() {
+        } else if self.gate.try_send() {
             Passed::Goes
         } else {
             Passed::Recalled
@@ -163,9 +163,9 @@
     Line(LinkId, Line),
     /// A connection to a video server is gone or did not come up, and the releases of which it is not proven that they
     /// were read there.
-    Down(LinkId, Down, Vec<Line>),
+    Down(LinkId, LinkEndReason, Vec<Line>),
     /// An event of the command channel, and on which of its streams it came.
-    Told(u64, Told),
+    Told(u64, ChannelUpdate),
     /// A datagram of another session manager.
     Gossip(Bytes),
     /// The configuration was read again.
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -5,19 +5,19 @@
 mod wire;
 
 use cloverhollow::{Class, Limits, Ration, Rules, Rung, Settings, Tenant};
-use cloverhollow_session::{ClassTerms, Terms};
+use cloverhollow_session::{ClassConfig, CoreConfig};
 use figures::Whole;
 use std::sync::Arc;
 use std::time::Duration;
 use wire::{WireGrade, WireSetup};
 
 /// Milliseconds as a span; nonsense becomes zero or, if huge, some thousand years.
-pub fn span(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 1e14).max(0.0) / 1e3)
 }
 
 /// A figure as a whole number; what is under zero or none is zero.
-pub fn whole(v: f64) -> usize {
+pub fn whole_number(v: f64) -> usize {
     v.max(0.0) as usize
 }
 
@@ -57,7 +57,7 @@
 
 /// What the settings say.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct SiteSettings {
     /// For the decision module.
     pub settings: Settings,
     /// The names that indices stand for.
@@ -69,16 +69,16 @@
     /// An idle connection is closed after this; zero: not told.
     pub idle_close: Duration,
     /// Session managers may send each other datagrams.
-    pub peers: bool,
+    pub peer_datagrams: bool,
     /// Classes whose effect is none of the two words that are known, with that word: none is repeated that may have run.
-    pub doubted: Vec<(String, String)>,
+    pub unknown_effects: Vec<(String, String)>,
 }
 
 /// Reads the settings of one instance.
 ///
 /// # Errors
 /// Which field is wrong, and how.
-pub fn read(value: serde_json::Value) -> Result<Site, String> {
+pub fn read(value: serde_json::Value) -> Result<SiteSettings, String> {
     let w: WireSetup =
         serde_path_to_error::deserialize(value).map_err(|e| format!("`{}`: {}", e.path(), e.inner()))?;
     w.check()?;
@@ -147,7 +147,15 @@
         kinds: w.kinds,
         zone: w.zone,
     };
-    Ok(Site { settings, names, deadlines, connect_timeout, idle_close, peers, doubted })
+    Ok(SiteSettings {
+        settings,
+        names,
+        deadlines,
+        connect_timeout,
+        idle_close,
+        peer_datagrams: peers,
+        unknown_effects: doubted,
+    })
 }
 
 /// Most sessions held: more than the video servers of a session manager this size can run.
@@ -156,23 +164,23 @@
 /// other end counts already when the request is read here.
 const MARGIN: Duration = Duration::from_millis(20);
 
-impl Site {
+impl SiteSettings {
     /// What the session core is told of them.
-    pub fn terms(&self) -> Terms {
+    pub fn core_config(&self) -> CoreConfig {
         let s = &self.settings;
         let classes = s.classes.iter().zip(&self.deadlines);
-        Terms {
-            classes: classes.map(|(c, &deadline)| ClassTerms { paid: c.at_most_once, deadline }).collect(),
+        CoreConfig {
+            classes: classes.map(|(c, &deadline)| ClassConfig { paid: c.at_most_once, deadline }).collect(),
             // Rates in kbps are for players' hints, which the platform has none of.
-            rates: s.classes.iter().map(|_| Arc::from([])).collect(),
-            kinds: self.names.kinds.clone(),
-            hall: self.names.zone.clone(),
-            hold_off: s.limits.hold_off,
-            margin: MARGIN,
-            most: MOST_SESSIONS,
-            waiting: 1,
-            idle: None,
-            memory: None,
+            rates_kbps: s.classes.iter().map(|_| Arc::from([])).collect(),
+            server_kinds: self.names.kinds.clone(),
+            zone: self.names.zone.clone(),
+            retry_after: s.limits.hold_off,
+            answer_margin: MARGIN,
+            max_sessions: MOST_SESSIONS,
+            max_waiting: 1,
+            idle_timeout: None,
+            persistence: None,
         }
     }
 }
