--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -79,7 +79,7 @@
         0 => fastrand::u64(1..1 << 53),
         seed => seed,
     };
-    let tap = match &serve.record {
+    let observer = match &serve.record {
         None => None,
         Some(dir) => {
             let file = serve.config.display().to_string();
@@ -90,7 +90,7 @@
     };
     let mut sigterm = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
     let mut sigint = signal(SignalKind::interrupt()).map_err(ServeError::Signal)?;
-    let front = Front::start(settings.clone(), policy(&settings, seed), tap).await?;
+    let front = Front::start(settings.clone(), policy(&settings, seed), observer).await?;
     let side = front.side.map(|a| a.to_string());
     let members = front.members.map(|a| a.to_string());
     let ready = serde_json::json!({ "address": front.address.to_string(), "side": side, "members": members });
