--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,6 +1,6 @@
 //! A front as a process: starts it, reports its addresses and runs it until a signal or an operator stops it.
 
-use cloverhollow::Brain;
+use cloverhollow::SessionPolicy;
 use cloverhollow_front::{Front, Leave, StartError};
 use cloverhollow_record::Recorder;
 use cloverhollow_session::{Policy, StepObserver};
@@ -154,6 +154,6 @@
     /// # Errors
     /// As [`serve`].
     pub async fn run(&self) -> Result<(), ServeError> {
-        serve(self, |settings, seed| Brain::new(settings.decisions(), seed)).await
+        serve(self, |settings, seed| SessionPolicy::new(settings.decisions(), seed)).await
     }
 }
--- a/crates/session/src/core/inputs.rs
+++ b/crates/session/src/core/inputs.rs
@@ -5,7 +5,7 @@
 use crate::session_state::{Phase, Session};
 use crate::timers::Timer;
 use crate::types::*;
-use cloverhollow::{Before, Event};
+use cloverhollow::{Event, RecoveredHistory};
 use cloverhollow_recovery::{Recovered, Trust};
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
             Input::PeerMessage { peer, requested_at, nonce, message } => {
                 let merged = self.knowledge.merge(self.now, requested_at, nonce, &message);
                 let outcome = merged.map(|(reports, status)| {
-                    self.events.extend(reports.into_iter().map(Event::Heard));
+                    self.events.extend(reports.into_iter().map(Event::PeerReport));
                     status
                 });
                 if let Err(error) = outcome {
@@ -37,13 +37,13 @@
                 }
                 self.commands.push(Command::KnowledgeMerged { peer, outcome });
             }
-            Input::ClockOffset(offset) => self.events.push(Event::Clock(offset)),
-            Input::PeerReport(report) => self.events.push(Event::Heard(report)),
-            Input::FleetSize { fronts } => self.events.push(Event::Counted { fronts }),
+            Input::ClockOffset(offset) => self.events.push(Event::ClockOffset(offset)),
+            Input::PeerReport(report) => self.events.push(Event::PeerReport(report)),
+            Input::FleetSize { fronts } => self.events.push(Event::FleetSize { max_fronts: fronts }),
             Input::Recovered(recovered) => self.restore_history(*recovered),
             Input::PersistedKnowledge(message) => {
                 let reports = self.knowledge.restore(self.now, &message);
-                self.events.extend(reports.into_iter().map(Event::Heard));
+                self.events.extend(reports.into_iter().map(Event::PeerReport));
             }
         }
     }
@@ -96,11 +96,11 @@
             .as_ref()
             .filter(|_| list_may_be_stale)
             .map_or(Duration::ZERO, |p| p.max_list_delay);
-        self.events.push(Event::Before(Before {
-            further: recovered.further,
-            known: recovered.known,
-            ran,
-            late,
+        self.events.push(Event::RecoveredHistory(RecoveredHistory {
+            retry_ages: recovered.further,
+            complete_for: recovered.known,
+            last_setup_age: ran,
+            list_delay: late,
         }));
     }
 }
--- a/crates/session/src/core/playing.rs
+++ b/crates/session/src/core/playing.rs
@@ -6,7 +6,7 @@
 use crate::session_state::{Phase, Session};
 use crate::timers::Timer;
 use crate::types::*;
-use cloverhollow::{Event, Note, Outcome, RequestId, ServerId};
+use cloverhollow::{AttemptOutcome, Event, RequestId, ServerId, SessionReport};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, AtomicU64};
 use std::sync::Arc;
@@ -42,12 +42,12 @@
     }
 
     /// Passes a server's report on a session to the policy if the session plays.
-    pub(super) fn session_reported(&mut self, sid: &SessionId, report: Note) {
+    pub(super) fn session_reported(&mut self, sid: &SessionId, report: SessionReport) {
         let Some(request) = self.by_sid.get(sid).copied() else { return };
         let Some(Session { phase: Phase::Playing { route, .. }, .. }) = self.sessions.get(&request) else {
             return;
         };
-        self.events.push(Event::Note(request, route.server, report));
+        self.events.push(Event::SessionReport(request, route.server, report));
     }
 
     pub(super) fn load_reported(&mut self, request: RequestId, server: ServerId, load: Load) {
@@ -59,8 +59,12 @@
             return;
         }
         self.knowledge.record_load(self.now, server, load);
-        let reports = [load.share.map(Note::Share), load.rack.map(Note::Rack), load.link.map(Note::Link)];
-        self.events.extend(reports.into_iter().flatten().map(|r| Event::Note(request, server, r)));
+        let reports = [
+            load.share.map(SessionReport::DeliveredShare),
+            load.rack.map(SessionReport::UplinkLoad),
+            load.link.map(SessionReport::LinkLoad),
+        ];
+        self.events.extend(reports.into_iter().flatten().map(|r| Event::SessionReport(request, server, r)));
     }
 
     /// Ends a session if it plays. A session that is being set up is left alone: its waiting viewers get their answer
@@ -68,7 +72,7 @@
     pub(super) fn end_session(&mut self, request: RequestId, reason: EndReason, load: Load) {
         let Some(session) = self.sessions.get(&request) else { return };
         let Phase::Playing { attempt, route } = &session.phase else { return };
-        let outcome = if reason == EndReason::Lost { Outcome::Reset } else { Outcome::Ok };
+        let outcome = if reason == EndReason::Lost { AttemptOutcome::Reset } else { AttemptOutcome::Ok };
         self.stats.record_end(reason);
         tracing::debug!(session = %session.sid, server = route.server, why = ?reason, "session ended");
         let (address, server) = (route.address, route.server);
@@ -79,7 +83,7 @@
         let sid = session.sid.clone();
         self.commands.push(Command::Release { address, server, sid: sid.clone() });
         self.commands.push(Command::SessionEnded { sid, server, reason });
-        self.events.push(Event::Ended(request, attempt.number, server, outcome, true, load.report()));
+        self.events.push(Event::AttemptEnded(request, attempt.number, server, outcome, true, load.report()));
         self.remove_session(request);
     }
 
--- a/crates/session/src/history.rs
+++ b/crates/session/src/history.rs
@@ -5,7 +5,7 @@
 use crate::invariants::{ensure, InvariantViolation};
 use crate::list::{ListUpdate, WireState};
 use crate::types::RejectReason;
-use cloverhollow::{Heard, ListMode, ServerId};
+use cloverhollow::{ListMode, PeerReport, ServerId};
 use cloverhollow_recovery::ledger::{Bounds, Held};
 use cloverhollow_recovery::{digest, Deed, Paid, Recovered};
 use std::collections::BTreeSet;
@@ -164,12 +164,17 @@
     ///
     /// Without them, a restarted front would take a server for warm that its previous incarnation saw vanish, and
     /// that may have come back cold (rule 4).
-    pub(crate) fn take_failures(&mut self, is_listed: impl Fn(ServerId) -> bool) -> Vec<Heard> {
+    pub(crate) fn take_failures(&mut self, is_listed: impl Fn(ServerId) -> bool) -> Vec<PeerReport> {
         let reported: Vec<_> = self.unreported_failures.iter().copied().filter(|s| is_listed(*s)).collect();
         self.unreported_failures.retain(|s| !reported.contains(s));
         reported
             .into_iter()
-            .map(|server| Heard { server, failed: true, lost: true, ..Heard::default() })
+            .map(|server| PeerReport {
+                server,
+                failed: true,
+                may_have_restarted: true,
+                ..PeerReport::default()
+            })
             .collect()
     }
 
--- a/crates/session/src/list/mod.rs
+++ b/crates/session/src/list/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::config::CoreConfig;
 use crate::invariants::{ensure, InvariantViolation};
-use cloverhollow::{Entry, ListMode, Listed, ServerId};
+use cloverhollow::{ListEntry, ListMode, ServerId, ServerState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
 #[derive(Debug)]
 pub struct AppliedUpdate {
     /// Changed servers in the policy's form.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
     /// Servers that accepted new sessions before the update and do not any more.
     pub stopped: BTreeSet<ServerId>,
 }
@@ -96,7 +96,7 @@
     /// Applies an update.
     pub fn apply(&mut self, now: Duration, update: &ListUpdate, config: &CoreConfig) -> AppliedUpdate {
         let mut out = AppliedUpdate { entries: Vec::new(), stopped: BTreeSet::new() };
-        if update.mode == ListMode::Broken {
+        if update.mode == ListMode::Failed {
             return out;
         }
         self.version = update.version;
@@ -126,19 +126,19 @@
             if served && e.state != WireState::Serving {
                 out.stopped.insert(e.id);
             }
-            out.entries.push(Entry {
+            out.entries.push(ListEntry {
                 server: e.id,
-                key: e.key.unwrap_or(e.id),
+                shared_key: e.key.unwrap_or(e.id),
                 cell: e.cell,
                 kind: config.kind_index(&e.kind),
                 weight: e.weight,
                 state: match e.state {
-                    WireState::Serving => Listed::Serving,
-                    WireState::Draining => Listed::Draining,
-                    WireState::Gone => Listed::Gone,
+                    WireState::Serving => ServerState::Serving,
+                    WireState::Draining => ServerState::Draining,
+                    WireState::Gone => ServerState::Removed,
                 },
-                started: started_at,
-                far: e.zone != config.zone,
+                started_at,
+                in_other_zone: e.zone != config.zone,
             });
         }
         if left_out > 0 {
