--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -20,14 +20,14 @@
     /// Side address of the front.
     #[arg(long, global = true, default_value = "127.0.0.1:8081")]
     side: SocketAddr,
-    /// Prints the front's JSON unchanged.
+    /// Prints JSON as sent by the front instead of text.
     #[arg(long, global = true)]
     json: bool,
 }
 
 #[derive(Subcommand)]
 enum Query {
-    /// Bounds on the number of members, the count that decisions use, and who may be out of service.
+    /// Shows bounds on the number of members, the count that decisions use, and who may be out of service.
     Status,
     /// Asks the front to leave service once it holds a permit; it keeps serving until then, and stays if it gets none.
     Out,
--- a/crates/cli/tests/node_identity.rs
+++ b/crates/cli/tests/node_identity.rs
@@ -69,7 +69,7 @@
 /// established.
 #[test]
 fn pending_release_reaches_a_server_that_left_and_returned() {
-    let mut fixture = ServerListFixture::new("owed-after-return");
+    let mut fixture = ServerListFixture::new("pending-after-return");
     let (mut viewer, mut server_conn) = fixture.establish_on_new_connection(0xb3);
     fixture.remove_server();
     let returned = fixture.list_entry(0, "in_service", 0);
--- a/crates/cli/tests/node_ramp.rs
+++ b/crates/cli/tests/node_ramp.rs
@@ -174,7 +174,7 @@
             json!({"cold": 60_000, "cold-from": 0.5, "fall": 300, "fall-multiple": 2.0});
         config["settings"]["domain"]["places-by-kind"] = json!([60_000.0]);
         config["settings"]["limits"]["most-tries"] = json!(1);
-        let node = start_node(&format!("stood-still-{cold}"), &config);
+        let node = start_node(&format!("stopped-{cold}"), &config);
         let mut viewer = node.connect();
         let mut server_conn = wait_for("the first time slot", || {
             viewer.write_all(setup_request(1, "clip", 1_900).as_bytes()).unwrap();
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -100,7 +100,7 @@
 /// up again.
 #[test]
 fn cancelled_session_is_released_before_its_id_is_set_up_again() {
-    let (node, _channel, server) = start_with_server("anew");
+    let (node, _channel, server) = start_with_server("released-first");
     let (mut viewer, id) = (node.connect(), 0xa4);
     viewer.write_all(setup_request(id, "clip", 2_000).as_bytes()).unwrap();
     let mut server_conn = server.accept();
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -62,21 +62,21 @@
 fn paid_sessions_are_refused_after_a_missing_corrupt_or_outdated_log() {
     type Damage = fn(&std::path::Path);
     let ways: [(&str, Damage); 3] = [
-        ("gone", |log| std::fs::remove_file(log).unwrap()),
-        ("garbled", |log| {
+        ("missing", |log| std::fs::remove_file(log).unwrap()),
+        ("corrupt", |log| {
             let mut bytes = std::fs::read(log).unwrap();
             bytes[20] ^= 0xff;
             std::fs::write(log, bytes).unwrap();
         }),
         // As an old copy put back: the file changed long after its last record was written.
-        ("changed", |log| {
+        ("outdated", |log| {
             std::thread::sleep(std::time::Duration::from_millis(2_200));
             let bytes = std::fs::read(log).unwrap();
             std::fs::write(log, bytes).unwrap();
         }),
     ];
     for (name, damage) in ways {
-        let (dir, _events, config) = start_site(&format!("spoilt-{name}"), "");
+        let (dir, _events, config) = start_site(&format!("damaged-{name}"), "");
         let (process, _, _) = start_ready_front(&config);
         kill(process);
         damage(&dir.join("front.keep.deeds"));
@@ -200,7 +200,7 @@
 fn front_stopped_past_a_deadline_responds_once_and_repeats_no_set_up() {
     // Longer than the deadline of 1.5 s.
     let pause = std::time::Duration::from_millis(2_500);
-    let (_dir, events, config) = start_site("still", "");
+    let (_dir, events, config) = start_site("stopped", "");
     let text = std::fs::read_to_string(&config).unwrap().replace("deadline_ms: 15000", "deadline_ms: 1500");
     std::fs::write(&config, text).unwrap();
     let (process, address, side) = start_ready_front(&config);
--- a/crates/cli/tests/stop_permits.rs
+++ b/crates/cli/tests/stop_permits.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn crashed_front_counts_as_out_and_others_keep_serving_until_it_is_back() {
-    let fleet = Fleet::start("out-dead", &ONE_ZONE, "fleet: 1, hall: 1", long_wait);
+    let fleet = Fleet::start("out-crashed", &ONE_ZONE, "fleet: 1, hall: 1", long_wait);
     let (crashed, signalled) = (&fleet.fronts[4], [0, 3]);
     crashed.restart_enabled.store(false, SeqCst);
     crashed.signal(Signal::KILL);
@@ -103,7 +103,7 @@
 #[test]
 fn two_fronts_may_be_out_at_once_in_different_zones_but_not_in_one() {
     let zones = ["a", "a", "a", "b", "b"];
-    let fleet = Fleet::start("out-halls", &zones, "fleet: 2, hall: 1", long_wait);
+    let fleet = Fleet::start("out-zones", &zones, "fleet: 2, hall: 1", long_wait);
     let exits = |n: usize| fleet.fronts[n].exits.load(SeqCst);
     fleet.fronts.iter().for_each(|f| f.restart_enabled.store(false, SeqCst));
     [0, 1].iter().for_each(|n| fleet.fronts[*n].signal(Signal::TERM));
