--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,7 +1,7 @@
 //! A front as a process: starts it, reports its addresses and runs it until a signal or an operator stops it.
 
 use cloverhollow::SessionPolicy;
-use cloverhollow_front::{Front, Leave, StartError};
+use cloverhollow_front::{Front, LeaveOutcome, StartError};
 use cloverhollow_record::Recorder;
 use cloverhollow_session::{Policy, StepObserver};
 use cloverhollow_settings::{FrontSettings, SettingsError};
@@ -36,7 +36,7 @@
     /// Exit code of the process: 2 for invalid settings or keys, 1 for all other errors.
     pub fn code(&self) -> u8 {
         match self {
-            ServeError::Settings(_) | ServeError::Start(StartError::Key { .. }) => 2,
+            ServeError::Settings(_) | ServeError::Start(StartError::InvalidKey { .. }) => 2,
             _ => 1,
         }
     }
@@ -91,8 +91,8 @@
     let mut sigterm = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
     let mut sigint = signal(SignalKind::interrupt()).map_err(ServeError::Signal)?;
     let front = Front::start(settings.clone(), policy(&settings, seed), observer).await?;
-    let side = front.side.map(|a| a.to_string());
-    let members = front.members.map(|a| a.to_string());
+    let side = front.side_address.map(|a| a.to_string());
+    let members = front.members_address.map(|a| a.to_string());
     let ready = serde_json::json!({ "address": front.address.to_string(), "side": side, "members": members });
     println!("{ready}");
     wait_for_shutdown(&front, &settings, &mut sigterm, &mut sigint).await;
@@ -118,25 +118,25 @@
             tokio::select! {
                 _ = sigterm.recv() => signalled = true,
                 _ = sigint.recv() => signalled = true,
-                () = front.asked_out() => {}
+                () = front.wait_for_leave_request() => {}
             }
         }
         let permission = tokio::select! {
-            permission = front.leave_when_allowed(wait) => Some(permission),
+            permission = front.wait_for_leave_permit(wait) => Some(permission),
             _ = sigterm.recv() => None,
             _ = sigint.recv() => None,
         };
         match permission {
-            Some(Leave::Off | Leave::Permit) => return,
-            Some(Leave::Without) if signalled => {
-                let (reason, waited_ms) = (front.why_not(), wait.as_millis() as u64);
+            Some(LeaveOutcome::NotRequired | LeaveOutcome::Granted) => return,
+            Some(LeaveOutcome::TimedOut) if signalled => {
+                let (reason, waited_ms) = (front.permit_denial_reason(), wait.as_millis() as u64);
                 tracing::warn!(member = name, reason, waited_ms, "goes out without a permit");
                 return;
             }
-            Some(Leave::Without) => {
-                let reason = front.why_not();
+            Some(LeaveOutcome::TimedOut) => {
+                let reason = front.permit_denial_reason();
                 tracing::warn!(member = name, reason, "was asked to go out and stays: no permit in time");
-                front.stay();
+                front.cancel_leave();
             }
             None if signalled => {
                 tracing::warn!(member = name, reason = "told a second time", "goes out without a permit");
