--- a/crates/front/src/out_of_service/fleet_state.rs
+++ b/crates/front/src/out_of_service/fleet_state.rs
@@ -18,7 +18,7 @@
 //!   view is uncertain.
 
 use cloverhollow_members::{Sure, View};
-use cloverhollow_out::{Known, Place, Standing, Subject, World};
+use cloverhollow_out::{Availability, FleetView, MemberStatus, Place, Subject};
 use cloverhollow_settings::title_id;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 /// Returns the place of a front in a zone.
 pub(super) fn front_place(zone: &str) -> Place {
     let digest = title_id(zone);
-    Place { hall: (digest ^ digest >> 32) as u32, rack: None, cell: None }
+    Place { zone: (digest ^ digest >> 32) as u32, rack: None, cell: None }
 }
 
 /// Formats a subject for logs and status pages.
@@ -61,7 +61,7 @@
     ready: &BTreeMap<SocketAddr, u64>,
     forget_after: Duration,
     uncertain_for: Duration,
-) -> World {
+) -> FleetView {
     let mut newest = BTreeMap::new();
     for seen in view.members.values() {
         let entry = newest.entry(front_subject(&seen.who.name)).or_insert(seen);
@@ -72,13 +72,13 @@
     let is_remembered =
         |s: &&cloverhollow_members::Seen| s.sure != Sure::Gone || now < s.since + forget_after;
     let remembered = newest.into_iter().filter(|(_, s)| is_remembered(s));
-    let known = |s: &cloverhollow_members::Seen| Known {
+    let known = |s: &cloverhollow_members::Seen| MemberStatus {
         place: front_place(&s.who.hall),
-        standing: match s.sure {
-            Sure::There if !is_ready(ready, s) => Standing::Out,
-            sure => Standing::from(sure),
+        availability: match s.sure {
+            Sure::There if !is_ready(ready, s) => Availability::OutOfService,
+            sure => Availability::from(sure),
         },
-        link: 0,
+        link_kbit_s: 0,
     };
-    World { known: remembered.map(|(subject, s)| (subject, known(s))).collect(), unsure_for: uncertain_for }
+    FleetView { members: remembered.map(|(subject, s)| (subject, known(s))).collect(), uncertain_for }
 }
--- a/crates/front/src/out_of_service/messages.rs
+++ b/crates/front/src/out_of_service/messages.rs
@@ -7,7 +7,7 @@
 
 use super::{fleet_state, OutOfService, MAX_QUERIED, QUERY_INTERVAL};
 use cloverhollow_members::{Sure, View};
-use cloverhollow_out::Word;
+use cloverhollow_out::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 pub(crate) enum PermitMessage {
     /// Message of the register protocol.
     #[serde(rename = "Out")]
-    Register(Word),
+    Register(Message),
     /// Query whether the receiver accepts viewers.
     #[serde(rename = "Asks")]
     QueryReadiness {
--- a/crates/front/src/out_of_service/mod.rs
+++ b/crates/front/src/out_of_service/mod.rs
@@ -16,8 +16,8 @@
 
 use cloverhollow_members::View;
 use cloverhollow_out::{
-    Asker, AskerSettings, Broken, Clerk, Granted, Limits, Most, Place, Register, Seen, Subject, Term, Word,
-    World,
+    Acceptor, FleetView, GrantContext, GrantedLease, InvariantViolation, Limits, MaxOutOfService, Message,
+    Place, Proposer, ProposerConfig, Register, Subject, Term,
 };
 use cloverhollow_settings::FrontSettings;
 use messages::PermitMessage;
@@ -50,7 +50,7 @@
 /// Permit as granted by the register.
 #[derive(Clone, Copy, Debug)]
 struct HeldPermit {
-    granted: Granted,
+    granted: GrantedLease,
     term: Term,
     /// State version that must have been attempted to be written before the permit is used.
     state_version: u64,
@@ -67,8 +67,8 @@
     forget_after: Duration,
     witnesses: Vec<SocketAddr>,
     limits: Limits,
-    acceptor: Option<Clerk>,
-    proposer: Asker,
+    acceptor: Option<Acceptor>,
+    proposer: Proposer,
     pending_change: Option<PendingChange>,
     next_proposal: Duration,
     /// True if this front is to leave service.
@@ -82,7 +82,7 @@
     /// True once a member's full list has arrived since the start.
     list_received: bool,
     last_certain_at: Option<Duration>,
-    fleet_state: World,
+    fleet_state: FleetView,
     /// View number and time of the last evaluation.
     last_evaluation: Option<(u64, Duration)>,
     /// Reason why the last proposal failed.
@@ -93,7 +93,7 @@
     state_version: u64,
     attempted_version: u64,
     persisted_version: u64,
-    delayed_replies: VecDeque<(u64, SocketAddr, Word)>,
+    delayed_replies: VecDeque<(u64, SocketAddr, Message)>,
     outgoing: Vec<(SocketAddr, PermitMessage)>,
     /// Incarnations that reported that they accept viewers, by address; current members only.
     ready_incarnations: BTreeMap<SocketAddr, u64>,
@@ -119,19 +119,19 @@
         let persisted = file.as_ref().map(PermitFile::read).unwrap_or_default();
         let (lease, witnesses) = (permit_settings.lease_ms.get(), members.witnesses.clone());
         let is_witness = witnesses.contains(&own_address);
-        let front_limits = Most {
+        let front_limits = MaxOutOfService {
             fleet: permit_settings.fleet.value as u16,
-            hall: permit_settings.hall.get() as u16,
+            zone: permit_settings.hall.get() as u16,
             rack: u16::MAX,
         };
-        let no_servers = Most { fleet: 0, hall: 0, rack: 0 };
+        let no_servers = MaxOutOfService { fleet: 0, zone: 0, rack: 0 };
         let unsure_ms = members.suspicion_ms.get().as_millis() as u32;
-        let proposer_settings = AskerSettings {
-            me: own_address,
-            life: incarnation,
+        let proposer_settings = ProposerConfig {
+            address: own_address,
+            incarnation,
             witnesses: witnesses.clone(),
-            longest: lease,
-            seed: fastrand::u64(..),
+            max_lease: lease,
+            backoff_seed: fastrand::u64(..),
         };
         Some(OutOfService {
             name: settings.instance.name.as_str().into(),
@@ -145,14 +145,14 @@
             limits: Limits {
                 fronts: front_limits,
                 servers: no_servers,
-                copies: 0,
-                cells: 0,
-                free: None,
-                unsure_ms,
+                cells_per_title: 0,
+                ring_cells: 0,
+                free_link_kbit_s: None,
+                max_uncertain_ms: unsure_ms,
             },
             acceptor: is_witness
-                .then(|| Clerk::new(now, own_address, incarnation, lease, persisted.acceptor)),
-            proposer: Asker::new(proposer_settings),
+                .then(|| Acceptor::new(now, own_address, incarnation, lease, persisted.acceptor)),
+            proposer: Proposer::new(proposer_settings),
             pending_change: None,
             next_proposal: now,
             leaving: false,
@@ -161,7 +161,7 @@
             unreturned: persisted.unreturned,
             list_received: false,
             last_certain_at: None,
-            fleet_state: World::default(),
+            fleet_state: FleetView::default(),
             denial_reason: "not asked yet".into(),
             last_register: None,
             state_file: file,
@@ -220,7 +220,7 @@
     /// Returns the term of a permit under which this front may leave now. Must be called again at each use.
     pub(crate) fn usable_permit(&self, now: Duration) -> Option<Term> {
         self.held_permit
-            .filter(|h| h.granted.at(now) && h.state_version <= self.attempted_version)
+            .filter(|h| h.granted.is_valid_at(now) && h.state_version <= self.attempted_version)
             .map(|h| h.term)
     }
 
@@ -228,10 +228,14 @@
     ///
     /// # Errors
     /// The first invariant that is violated.
-    pub(crate) fn check(&self) -> Result<(), Broken> {
+    pub(crate) fn check(&self) -> Result<(), InvariantViolation> {
         let require = |holds, what| match holds {
             true => Ok(()),
-            false => Err(Broken { machine: "front's permits", who: self.incarnation, what }),
+            false => Err(InvariantViolation {
+                component: "front's permits",
+                id: self.incarnation,
+                invariant: what,
+            }),
         };
         require(
             self.persisted_version <= self.attempted_version && self.attempted_version <= self.state_version,
@@ -246,8 +250,8 @@
                 && self.delayed_replies.len() <= MAX_DELAYED_REPLIES,
             "bounds",
         )?;
-        self.acceptor.as_ref().map_or(Ok(()), Clerk::check)?;
-        self.proposer.check()
+        self.acceptor.as_ref().map_or(Ok(()), Acceptor::check_invariants)?;
+        self.proposer.check_invariants()
     }
 
     /// Returns the reason why the last proposal failed.
@@ -255,7 +259,7 @@
         self.denial_reason.clone()
     }
 
-    fn seen<'a>(world: &'a World, limits: &'a Limits) -> Seen<'a> {
-        Seen { world, limits }
+    fn seen<'a>(world: &'a FleetView, limits: &'a Limits) -> GrantContext<'a> {
+        GrantContext { fleet: world, limits }
     }
 }
--- a/crates/front/src/out_of_service/persistence.rs
+++ b/crates/front/src/out_of_service/persistence.rs
@@ -8,7 +8,7 @@
 use super::messages::PermitMessage;
 use super::OutOfService;
 use crate::clock::current_boot;
-use cloverhollow_out::{Clerk, Kept};
+use cloverhollow_out::{Acceptor, PersistedState};
 use cloverhollow_settings::{FrontSettings, Outlives};
 use cloverhollow_store::beside;
 use serde::{Deserialize, Serialize};
@@ -28,11 +28,11 @@
     pub(super) unreturned: Vec<u64>,
     /// Acceptor state, if this front is a witness.
     #[serde(rename = "clerk")]
-    pub(super) acceptor: Option<Kept>,
+    pub(super) acceptor: Option<PersistedState>,
 }
 
 impl PermitState {
-    pub(super) fn new(unreturned: Vec<u64>, acceptor: Option<Kept>) -> PermitState {
+    pub(super) fn new(unreturned: Vec<u64>, acceptor: Option<PersistedState>) -> PermitState {
         PermitState { boot: boot_id(), unreturned, acceptor }
     }
 }
@@ -111,7 +111,9 @@
 
     /// Returns the version and the state to write; no file if nothing is persisted.
     pub(crate) fn state_to_persist(&self) -> (u64, Option<(PermitFile, PermitState)>) {
-        let state = || PermitState::new(self.unreturned.clone(), self.acceptor.as_ref().map(Clerk::kept));
+        let state = || {
+            PermitState::new(self.unreturned.clone(), self.acceptor.as_ref().map(Acceptor::persisted_state))
+        };
         (self.state_version, self.state_file.clone().map(|file| (file, state())))
     }
 
--- a/crates/front/src/out_of_service/protocol.rs
+++ b/crates/front/src/out_of_service/protocol.rs
@@ -2,19 +2,19 @@
 
 use super::messages::PermitMessage;
 use super::{fleet_state, HeldPermit, OutOfService, PendingChange, MAX_DELAYED_REPLIES, MIN_PROPOSAL_DELAY};
-use cloverhollow_out::{Change, Outcome, Register, Word};
+use cloverhollow_out::{Change, Message, Outcome, Register};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 impl OutOfService {
-    pub(super) fn handle_message(&mut self, now: Duration, message: Word) {
+    pub(super) fn handle_message(&mut self, now: Duration, message: Message) {
         match message {
-            Word::Prepare { .. } | Word::Accept { .. } => {
+            Message::Prepare { .. } | Message::Accept { .. } => {
                 let Some(acceptor) = &mut self.acceptor else { return };
-                let state_before = acceptor.kept();
-                let reply = acceptor.word(now, &message);
-                self.state_version += u64::from(acceptor.kept() != state_before);
-                if let Some(register) = acceptor.taken().cloned() {
+                let state_before = acceptor.persisted_state();
+                let reply = acceptor.handle_message(now, &message);
+                self.state_version += u64::from(acceptor.persisted_state() != state_before);
+                if let Some(register) = acceptor.accepted_value().cloned() {
                     self.record_register(now, register);
                 }
                 // Guards against a reply that the acceptor forgets in a restart: it is delayed until the
@@ -30,11 +30,11 @@
                 }
             }
             message => {
-                if let Word::Promise { taken: Some((_, register)), .. } = &message {
+                if let Message::Promise { accepted: Some((_, register)), .. } = &message {
                     self.record_register(now, register.clone());
                 }
                 let seen = OutOfService::seen(&self.fleet_state, &self.limits);
-                let messages = self.proposer.word(now, message, seen);
+                let messages = self.proposer.handle_message(now, message, seen);
                 self.queue_messages(messages);
             }
         }
@@ -54,12 +54,12 @@
         if !self.proposer.is_busy() && now >= self.next_proposal {
             self.propose(now);
         }
-        let messages = self.proposer.due(now);
+        let messages = self.proposer.handle_timeout(now);
         self.queue_messages(messages);
         self.send_queries(now);
     }
 
-    fn queue_messages(&mut self, messages: Vec<(SocketAddr, Word)>) {
+    fn queue_messages(&mut self, messages: Vec<(SocketAddr, Message)>) {
         self.outgoing
             .extend(messages.into_iter().map(|(to, message)| (to, PermitMessage::Register(message))));
     }
@@ -68,7 +68,7 @@
     pub(crate) fn next_due(&self, now: Duration) -> Option<Duration> {
         let proposal = self.next_change(now).map(|_| self.next_proposal);
         let query = (self.leaving && !self.unconfirmed.is_empty()).then_some(self.next_query);
-        self.proposer.next_due().or(proposal).into_iter().chain(query).min()
+        self.proposer.next_timeout().or(proposal).into_iter().chain(query).min()
     }
 
     /// Returns the messages to send since the last call; messages to this front itself are handled at once.
@@ -109,7 +109,7 @@
             }
         });
         // A permit that expired while the process was suspended does not count.
-        let needs_permit = self.leaving && !self.held_permit.is_some_and(|h| h.granted.at(now));
+        let needs_permit = self.leaving && !self.held_permit.is_some_and(|h| h.granted.is_valid_at(now));
         unreturned
             .copied()
             .next()
@@ -126,7 +126,7 @@
             self.add_unreturned(self.incarnation);
         }
         let change = match change_kind {
-            PendingChange::GiveBack(_) => Change::GiveBack { subject: self.subject },
+            PendingChange::GiveBack(_) => Change::ReturnPermit { subject: self.subject },
             PendingChange::Grant => Change::Grant {
                 subject: self.subject,
                 place: self.place,
@@ -134,13 +134,13 @@
                 release: None,
             },
         };
-        self.proposer.give_for(if let PendingChange::GiveBack(incarnation) = change_kind {
+        self.proposer.return_permits_of(if let PendingChange::GiveBack(incarnation) = change_kind {
             Some(incarnation)
         } else {
             None
         });
         self.next_proposal = now + MIN_PROPOSAL_DELAY + MIN_PROPOSAL_DELAY.mul_f64(fastrand::f64());
-        if self.proposer.ask(now, change) {
+        if self.proposer.submit(now, change) {
             self.pending_change = Some(change_kind);
         }
     }
@@ -149,7 +149,7 @@
         let Some(proposed) = self.pending_change.take() else { return };
         let subject = fleet_state::format_subject(self.subject);
         match (proposed, outcome) {
-            (PendingChange::GiveBack(incarnation), Outcome::Done(register, _)) => {
+            (PendingChange::GiveBack(incarnation), Outcome::Committed(register, _)) => {
                 self.unreturned.retain(|other| *other != incarnation);
                 self.state_version += 1;
                 tracing::info!(
@@ -161,7 +161,7 @@
                 );
                 self.record_register(now, register);
             }
-            (PendingChange::Grant, Outcome::Done(register, granted)) => {
+            (PendingChange::Grant, Outcome::Committed(register, granted)) => {
                 let term = register.term;
                 self.record_register(now, register);
                 // A permit that is no longer wanted is returned.
@@ -177,7 +177,7 @@
                 }
             }
             (_, Outcome::Denied(reason)) => self.denial_reason = reason.to_string(),
-            (_, Outcome::NotHeard) => self.denial_reason = "no majority of the witnesses answered".into(),
+            (_, Outcome::NoQuorum) => self.denial_reason = "no majority of the witnesses answered".into(),
             (_, Outcome::Unknown) => {
                 self.denial_reason = "no majority of the witnesses took it in time".into()
             }
--- a/crates/front/src/out_of_service/status_page.rs
+++ b/crates/front/src/out_of_service/status_page.rs
@@ -2,7 +2,7 @@
 
 use super::{fleet_state, OutOfService};
 use cloverhollow_members::View;
-use cloverhollow_out::{Sight, Standing};
+use cloverhollow_out::{Availability, MemoryState};
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -19,28 +19,32 @@
                 "lease_ms": p.lease_ms, "holder": format!("{:016x}", p.holder)})
         });
         // Readiness is queried only while this front wants to leave.
-        let counts_as_out = |s| s != Standing::Serves && (s != Standing::Out || self.leaving);
-        let out_of_service =
-            self.fleet_state.known.iter().filter(|(s, k)| **s != self.subject && counts_as_out(k.standing));
-        let witness_state = self.acceptor.as_ref().map(|c| match c.sight(now) {
-            Sight::Sees => "sees",
-            Sight::Waited => "waited",
-            Sight::Blind => "blind",
+        let counts_as_out =
+            |s| s != Availability::Serving && (s != Availability::OutOfService || self.leaving);
+        let out_of_service = self
+            .fleet_state
+            .members
+            .iter()
+            .filter(|(s, k)| **s != self.subject && counts_as_out(k.availability));
+        let witness_state = self.acceptor.as_ref().map(|c| match c.memory_state(now) {
+            MemoryState::Current => "sees",
+            MemoryState::WaitedOut => "waited",
+            MemoryState::Recovering => "blind",
         });
-        let uncertain_ms =
-            (self.fleet_state.unsure_for != Duration::MAX).then_some(millis(self.fleet_state.unsure_for));
+        let uncertain_ms = (self.fleet_state.uncertain_for != Duration::MAX)
+            .then_some(millis(self.fleet_state.uncertain_for));
         json!({
-            "fleet": self.limits.fronts.fleet, "hall": self.limits.fronts.hall,
-            "wanted": self.leaving, "held": self.held_permit.is_some_and(|h| h.granted.at(now)),
+            "fleet": self.limits.fronts.fleet, "hall": self.limits.fronts.zone,
+            "wanted": self.leaving, "held": self.held_permit.is_some_and(|h| h.granted.is_valid_at(now)),
             "owed": self.unreturned.len(), "reason": self.denial_reason, "witness": witness_state, "unsure_ms": uncertain_ms,
             "register": self.last_register.as_ref().map(|(at, r)| json!({
                 "term": r.term.0, "heard_ms": millis(now.saturating_sub(*at)), "permits": permits.collect::<Vec<_>>(),
             })),
             "counted_out": out_of_service.map(|(s, k)| json!({
                 "name": name(*s), "subject": fleet_state::format_subject(*s),
-                "why": match k.standing {
-                    Standing::Gone => "gone",
-                    Standing::Doubted => "doubted",
+                "why": match k.availability {
+                    Availability::Dead => "gone",
+                    Availability::Suspect => "doubted",
                     _ => "did not say that it takes viewers",
                 },
             })).collect::<Vec<_>>(),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,17 +1,18 @@
 //! A session manager on the platform's sockets: viewers' connections, links to video servers, the command
-//! channel, signals, and the desk that owns the session core. One thread.
+//! channel, signals, and the event loop that owns the session core. Everything runs on one thread.
 //!
-//! The way of a request: [`listen`] accepts and reads; the desk has it read by `cloverhollow_platform` and the
-//! core decide; [`link`] sends; the answer comes back by the desk to the connection.
+//! The path of a request: `listen` accepts the connection and reads the message; the event loop has
+//! `cloverhollow_platform` parse it and the session core decide; `link` sends the set-up to a video server;
+//! the event loop passes the answer back to the viewer's connection.
 
 mod channel;
-mod desk;
+mod event_loop;
 mod gossip;
 mod link;
 mod links;
 mod listen;
-mod mail;
+mod messages;
 mod process;
-mod viewer;
+mod viewer_conn;
 
 pub use process::{run, NodeError};
