--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -72,7 +72,7 @@
     };
     // Guards against a front that is killed between the decision and the first byte: its next incarnation
     // finds the record (rules 2 and 6).
-    if !receipt.is_confirmed().await {
+    if !receipt.wait_confirmed().await {
         return ended(AttemptEnd::NotPersisted);
     }
     // Guards against a process that was suspended in between: its decision rests on outdated data.
--- a/crates/front/src/discovery.rs
+++ b/crates/front/src/discovery.rs
@@ -13,7 +13,7 @@
 /// Reason for the end of the event stream.
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
-    #[error("no connection: {0}")]
+    #[error("connection failed: {0}")]
     Connect(std::io::Error),
     #[error("no data within discovery.silent_ms")]
     TimedOut,
@@ -59,8 +59,8 @@
 
 async fn read_stream(shared: &Shared, received: &mut bool) -> Result<(), StreamError> {
     let settings = &shared.settings.discovery;
-    let timeout_after: Duration = settings.silent_ms.get();
-    let within = |d| timeout(timeout_after, d);
+    let silence_limit: Duration = settings.silent_ms.get();
+    let within = |d| timeout(silence_limit, d);
     let conn = within(connect(settings.address)).await.map_err(|_| StreamError::TimedOut)?;
     let mut conn = conn.map_err(StreamError::Connect)?;
     let target = Target::parse(settings.path.clone().into())
@@ -70,14 +70,14 @@
     head.headers.push("via", shared.via.clone());
     head.headers.push("accept", "text/event-stream");
     conn.send_request(head, Bytes::new()).await?;
-    let head = timeout(timeout_after, conn.read_head()).await.map_err(|_| StreamError::TimedOut)??;
+    let head = timeout(silence_limit, conn.read_head()).await.map_err(|_| StreamError::TimedOut)??;
     if head.status != 200 {
         return Err(StreamError::Status(head.status));
     }
     let (mut feed, mut decoder) = (Feed::default(), EventStreamDecoder::default());
     loop {
         let data =
-            timeout(timeout_after, conn.read_body_chunk()).await.map_err(|_| StreamError::TimedOut)??;
+            timeout(silence_limit, conn.read_body_chunk()).await.map_err(|_| StreamError::TimedOut)??;
         let Some(data) = data else { return Ok(()) };
         for event in decoder.push(&data).map_err(StreamError::Malformed)? {
             let update = feed.read(&event)?;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -35,7 +35,8 @@
 use cloverhollow_session::{Core, Input, Policy, Routes, SnapshotCell, Stats, StepObserver};
 use cloverhollow_settings::FrontSettings;
 use connection_pool::ConnectionPools;
-use event_loop::EventLoop;
+use event_loop::{EventLoop, LoopEvent};
+use side_endpoint::FrontStatus;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
@@ -44,6 +45,7 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
+use write_ahead_log::WriteAheadLog;
 
 /// Capacity of the event loop's queue. A sender that finds it full waits, which puts back-pressure on the
 /// viewers' connections.
@@ -57,8 +59,8 @@
     pub(crate) stats: Arc<Stats>,
     pub(crate) knowledge: Arc<SnapshotCell>,
     pub(crate) pools: ConnectionPools,
-    pub(crate) log: write_ahead_log::WriteAheadLog,
-    pub(crate) event_tx: mpsc::Sender<event_loop::LoopEvent>,
+    pub(crate) log: WriteAheadLog,
+    pub(crate) event_tx: mpsc::Sender<LoopEvent>,
     pub(crate) via: String,
     next_viewer: AtomicU64,
 }
@@ -106,7 +108,7 @@
     pub members_address: Option<SocketAddr>,
     stop: CancellationToken,
     tasks: TaskTracker,
-    log: write_ahead_log::WriteAheadLog,
+    log: WriteAheadLog,
     fleet_member: Option<Arc<members::FleetMember>>,
     name: String,
 }
@@ -140,7 +142,7 @@
             core.set_step_observer(observer);
         }
         let clock = Clock::start();
-        let fleet = members::FleetMember::open(&settings, clock, side_address).await?;
+        let membership = members::FleetMember::open(&settings, clock, side_address).await?;
         let (event_tx, event_rx) = mpsc::channel(MAX_QUEUED_EVENTS);
         let shared = Arc::new(Shared {
             clock,
@@ -155,42 +157,30 @@
             settings: settings.clone(),
         });
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
-        let status =
-            Arc::new(side_endpoint::FrontStatus::new(&settings.peers, fleet.as_ref().map(|f| f.0.clone())));
+        let status = Arc::new(FrontStatus::new(&settings.peers, membership.as_ref().map(|f| f.0.clone())));
         let (merge_tx, merge_outcomes) = mpsc::channel(peers::MAX_MERGE_OUTCOMES);
 
         // Persisted state is queued before any request can be: the event loop handles its events in order.
         let now = clock.now();
-        let trust = recovery.recovered.trust;
-        status.set_previous_incarnations(
-            trust.words(),
-            recovery.restart_delay.deaths,
-            now + recovery.restart_delay.hold,
-        );
-        if !recovery.restart_delay.hold.is_zero() {
-            let (deaths, hold_ms) =
-                (recovery.restart_delay.deaths, recovery.restart_delay.hold.as_millis() as u64);
+        let (trust, restart_delay) = (recovery.recovered.trust, recovery.restart_delay);
+        status.set_previous_incarnations(trust.words(), restart_delay.deaths, now + restart_delay.hold);
+        if !restart_delay.hold.is_zero() {
+            let (deaths, hold_ms) = (restart_delay.deaths, restart_delay.hold.as_millis() as u64);
             tracing::warn!(deaths, hold_ms, "repeated crashes: no viewers are accepted for a while");
         }
         let wall_clock_offset = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
-        let _ = shared
-            .event_tx
-            .send(event_loop::LoopEvent::from_input(Input::ClockOffset(wall_clock_offset)))
-            .await;
+        let _ = shared.event_tx.send(LoopEvent::from_input(Input::ClockOffset(wall_clock_offset))).await;
         if trust != Trust::First {
             let _ = shared
                 .event_tx
-                .send(event_loop::LoopEvent::from_input(Input::Recovered(Box::new(recovery.recovered))))
+                .send(LoopEvent::from_input(Input::Recovered(Box::new(recovery.recovered))))
                 .await;
         }
         if let Some(update) = loaded.list {
-            let _ = shared.event_tx.send(event_loop::LoopEvent::list_update(update)).await;
+            let _ = shared.event_tx.send(LoopEvent::list_update(update)).await;
         }
         if let Some(message) = loaded.knowledge {
-            let _ = shared
-                .event_tx
-                .send(event_loop::LoopEvent::from_input(Input::PersistedKnowledge(message)))
-                .await;
+            let _ = shared.event_tx.send(LoopEvent::from_input(Input::PersistedKnowledge(message))).await;
         }
         let list_tx = persistence::spawn_writer(
             &tasks,
@@ -211,9 +201,9 @@
             stop.clone(),
             peers::run(shared.clone(), status.clone(), side_address, merge_outcomes),
         ));
-        let members_address = fleet.as_ref().and_then(|(_, socket)| socket.local_addr().ok());
-        let fleet_member = fleet.as_ref().map(|f| f.0.clone());
-        if let Some((fleet, socket)) = fleet {
+        let members_address = membership.as_ref().and_then(|(_, socket)| socket.local_addr().ok());
+        let fleet_member = membership.as_ref().map(|f| f.0.clone());
+        if let Some((fleet, socket)) = membership {
             // Stops by itself: a write in progress is completed.
             tasks.spawn(out_of_service::persist(fleet.clone(), stop.clone()));
             // Stops by itself: it announces that the member leaves.
@@ -231,7 +221,7 @@
         let log = shared.log.clone();
         tasks.spawn(run_until(stop.clone(), async move {
             // Drain notices received by the previous incarnation may be lost; then the full list is awaited.
-            let _ = tokio::time::timeout(max_wait, status.warm_start_ended(trust.misses())).await;
+            let _ = tokio::time::timeout(max_wait, status.wait_for_warm_start(trust.misses())).await;
             tokio::join!(
                 accept::accept(listener, shared.clone(), status.clone()),
                 out_of_service::enter_service_when_ready(shared, status)
--- a/crates/front/src/log_recovery.rs
+++ b/crates/front/src/log_recovery.rs
@@ -36,10 +36,10 @@
 pub(crate) async fn open(settings: &FrontSettings) -> Result<Option<cloverhollow_store::Found>, PaperError> {
     let Some(path) = settings.keep.file.as_deref().map(log_file_path) else { return Ok(None) };
     let opened = spawn_blocking(move || {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             match PaperFile::open(&path) {
-                Err(PaperError::Held { .. }) if begun.elapsed() < LOCK_WAIT => {
+                Err(PaperError::Held { .. }) if started_at.elapsed() < LOCK_WAIT => {
                     std::thread::sleep(LOCK_POLL_INTERVAL)
                 }
                 other => return other,
@@ -65,13 +65,13 @@
     ran_before: bool,
 ) -> LogRecovery {
     let Some(found) = found else { return without_log(settings) };
-    let (paper, bytes, changed_ms) = (found.paper, found.bytes, found.changed_ms);
+    let (log_file, bytes, changed_ms) = (found.paper, found.bytes, found.changed_ms);
     let (boot, now) = (current_boot(), current_stamp());
     let bounds = Bounds { paid: settings.sessions.spent.count(), ..Bounds::default() };
     let log_contents = Found { bytes: bytes.as_deref(), changed_ms, ran_before };
     let (ledger, recovered) = recover(log_contents, boot, now, &bounds);
     if let Trust::Unproven(why) = recovered.trust {
-        let aside = paper.set_aside().map(|p| p.display().to_string()).unwrap_or_default();
+        let aside = log_file.set_aside().map(|p| p.display().to_string()).unwrap_or_default();
         tracing::warn!(%why, aside, "previous incarnations are not proven: whatever they may have spent counts as spent");
     }
     let restarts = &settings.keep.restarts;
@@ -87,7 +87,7 @@
         retry_span: settings.rules.ration.as_ref().map_or(Duration::ZERO, |r| r.span_ms.get()),
         bounds,
     };
-    let storage: Box<dyn Paper> = Box::new(paper);
+    let storage: Box<dyn Paper> = Box::new(log_file);
     let log = WriteAheadLog::start(storage, ledger, Deed::Began { boot }, options);
     LogRecovery { log, recovered, restart_delay }
 }
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -30,9 +30,9 @@
 /// Path at the side address where members exchange their full member lists.
 pub(crate) const PATH: &str = "/v1/members";
 /// Path of the operators' status page at the side address.
-pub(crate) const PAGE: &str = "/v1/fleet";
+pub(crate) const STATUS_PAGE_PATH: &str = "/v1/fleet";
 /// Query argument that the response repeats.
-pub(crate) const NONCE: &str = "nonce";
+pub(crate) const NONCE_ARG: &str = "nonce";
 /// Time limit for one full exchange with a member.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -68,7 +68,7 @@
                 .map_err(|reason| StartError::InvalidKey { file: key.file.display().to_string(), reason })?;
             keys.push(Key { id: key.id.get() as u32, secret });
         }
-        let me = Who {
+        let own_id = Who {
             address: members.address.unwrap_or(bound),
             side: side_address,
             name: settings.instance.name.as_str().into(),
@@ -84,9 +84,9 @@
             seeds: members.seeds.clone(),
             ..SwimSettings::default()
         };
-        tracing::info!(address = %me.address, name = %me.name, life = %me.life, "member starts");
+        tracing::info!(address = %own_id.address, name = %own_id.name, life = %own_id.life, "starting as a member");
         let member_settings = MemberSettings {
-            me,
+            me: own_id,
             keys,
             swim,
             lease: members.lease_ms.get(),
@@ -187,7 +187,7 @@
 
 async fn fetch_member_list(peer: SocketAddr, nonce: u64) -> Option<Vec<u8>> {
     let mut conn = connect(peer).await.ok()?;
-    let target = Target::parse(format!("{PATH}?{NONCE}={nonce}").into())?;
+    let target = Target::parse(format!("{PATH}?{NONCE_ARG}={nonce}").into())?;
     let mut head = RequestHead::get(target);
     head.headers.push("host", peer.to_string());
     let (head, body) = conn.exchange(head, Bytes::new(), MOST_BODY).await.ok()?;
@@ -212,7 +212,7 @@
             // A full socket buffer or a refusing peer drops the datagram, as the network may.
             let _ = socket.try_send_to(&bytes, to);
         }
-        let due = fleet.member().next_due().min(next_sync).min(fleet.next_permit_due());
+        let wake_at = fleet.member().next_due().min(next_sync).min(fleet.next_permit_due());
         tokio::select! {
             () = stop.cancelled() => break,
             () = fleet.signals.permit_work.notified() => {}
@@ -226,7 +226,7 @@
             () = async { if let Some(sync) = active_sync.as_mut().as_pin_mut() { sync.await } }, if active_sync.is_some() => {
                 active_sync.set(None);
             }
-            () = sleep_until(clock.instant(due)) => {
+            () = sleep_until(clock.instant(wake_at)) => {
                 let now = clock.now();
                 fleet.with_member(|m| m.tick(now));
                 if now >= next_sync {
--- a/crates/front/src/object.rs
+++ b/crates/front/src/object.rs
@@ -25,13 +25,13 @@
 
 /// Fetches an object and relays it. Sends exactly one response in every case.
 pub(crate) async fn serve(
-    conn: &mut ViewerConn,
+    viewer_conn: &mut ViewerConn,
     request: &ViewerRequest,
     route: &Route,
     shared: &Shared,
 ) -> Disposition {
     let fetch_guard = route.begin_fetch();
-    let disposition = fetch_and_relay(conn, request, route, shared).await;
+    let disposition = fetch_and_relay(viewer_conn, request, route, shared).await;
     // Activity is recorded before the session can count as idle. If the viewer disconnects, this future is
     // dropped and the idle time runs from the previous record.
     route.record_activity(shared.clock.now());
@@ -40,7 +40,7 @@
 }
 
 async fn fetch_and_relay(
-    conn: &mut ViewerConn,
+    viewer_conn: &mut ViewerConn,
     request: &ViewerRequest,
     route: &Route,
     shared: &Shared,
@@ -49,33 +49,33 @@
     route.record_activity(shared.clock.now());
     shared.stats.objects.fetch_add(1, Relaxed);
     match fetch(request, route, shared).await {
-        Ok((head, connection)) => {
+        Ok((head, server_conn)) => {
             let hints = upstream::response_hints(&head, route.kbps());
             if hints.unknown_session {
                 report_session_lost(route, shared).await;
-                return conn.fail(502, "unknown-session", shared).await;
+                return viewer_conn.fail(502, "unknown-session", shared).await;
             }
             let settings = &shared.settings.reports;
             let (interval, short_interval) = (settings.every_ms.get(), settings.short_every_ms.get());
             if let Some(load) =
                 route.report_throttle.take_due(shared.clock.now(), hints.load, interval, short_interval)
             {
-                let (session_request, server) = (route.request, route.server);
+                let (request_id, server) = (route.request, route.server);
                 // An event loop that is behind can do without one load report.
                 let _ = shared.event_tx.try_send(LoopEvent::from_input(Input::LoadReport {
-                    request: session_request,
+                    request: request_id,
                     server,
                     load,
                 }));
             }
-            relay(conn, head, hints, connection, Some(route), started_at, shared).await
+            relay(viewer_conn, head, hints, server_conn, Some(route), started_at, shared).await
         }
         Err(FetchError::PoolExhausted) => {
-            conn.refuse(shared.settings.limits.hold_off_ms.get(), "front-full", shared).await
+            viewer_conn.refuse(shared.settings.limits.hold_off_ms.get(), "front-full", shared).await
         }
         Err(FetchError::Lost { timed_out }) => {
             report_session_lost(route, shared).await;
-            conn.fail(if timed_out { 504 } else { 502 }, "session-lost", shared).await
+            viewer_conn.fail(if timed_out { 504 } else { 502 }, "session-lost", shared).await
         }
     }
 }
@@ -95,19 +95,19 @@
 ) -> Result<(ResponseHead, PooledConnection), FetchError> {
     let mut require_new = false;
     loop {
-        let connection = shared.pools.acquire(route.server, route.address, require_new).await;
-        let mut connection = connection.map_err(|e| match e {
+        let server_conn = shared.pools.acquire(route.server, route.address, require_new).await;
+        let mut server_conn = server_conn.map_err(|e| match e {
             AcquireError::PoolExhausted => FetchError::PoolExhausted,
             AcquireError::ConnectFailed(_) => FetchError::Lost { timed_out: false },
         })?;
         let head = upstream::object_request(request, route, shared);
         let exchange = async {
-            connection.client().send_request(head, Bytes::new()).await?;
-            connection.client().read_head().await
+            server_conn.client().send_request(head, Bytes::new()).await?;
+            server_conn.client().read_head().await
         };
         match timeout(shared.settings.servers.object_ms.get(), exchange).await {
-            Ok(Ok(head)) => return Ok((head, connection)),
-            Ok(Err(_)) if connection.reused => require_new = true,
+            Ok(Ok(head)) => return Ok((head, server_conn)),
+            Ok(Err(_)) if server_conn.reused => require_new = true,
             Ok(Err(_)) => return Err(FetchError::Lost { timed_out: false }),
             Err(_) => return Err(FetchError::Lost { timed_out: true }),
         }
@@ -118,58 +118,65 @@
 ///
 /// The viewer has `listen.write_ms` to accept each part, the server `servers.body_ms` to send it.
 pub(crate) async fn relay(
-    conn: &mut ViewerConn,
+    viewer_conn: &mut ViewerConn,
     head: ResponseHead,
     hints: ResponseHints,
-    mut connection: PooledConnection,
+    mut server_conn: PooledConnection,
     route: Option<&Route>,
     started_at: Instant,
     shared: &Shared,
 ) -> Disposition {
     let hop = upstream::own_cmsd_hop(shared, route, started_at.elapsed().as_millis() as u32);
-    let mut relayed_head = ResponseHead { keep_alive: conn.keep_alive, ..ResponseHead::new(head.status, 0) };
+    let mut relayed_head =
+        ResponseHead { keep_alive: viewer_conn.keep_alive, ..ResponseHead::new(head.status, 0) };
     relayed_head.framing = head.framing;
     relayed_head.headers = head.headers.without(cmsd::DYNAMIC);
     relayed_head.headers.push(cmsd::DYNAMIC, hop.append_to(&hints.cmsd_path));
     relayed_head.headers.push("via", shared.via.clone());
     let write_timeout = shared.settings.listen.write_ms.get();
     let relay_body = async {
-        conn.framed.feed(ResponseFrame::Head(relayed_head)).await?;
+        viewer_conn.framed.feed(ResponseFrame::Head(relayed_head)).await?;
         loop {
             // Flushed only when the server has no more data ready: a small response goes out in one write.
-            let ready = connection.client().read_body_chunk().now_or_never();
+            let ready = server_conn.client().read_body_chunk().now_or_never();
             let data = match ready {
                 Some(data) => data?,
                 None => {
-                    timeout(write_timeout, conn.framed.flush()).await.map_err(|_| timeout_error())??;
-                    let next =
-                        timeout(shared.settings.servers.body_ms.get(), connection.client().read_body_chunk())
-                            .await;
+                    timeout(write_timeout, viewer_conn.framed.flush())
+                        .await
+                        .map_err(|_| timeout_error())??;
+                    let next = timeout(
+                        shared.settings.servers.body_ms.get(),
+                        server_conn.client().read_body_chunk(),
+                    )
+                    .await;
                     next.map_err(|_| timeout_error())??
                 }
             };
             match data {
                 Some(data) => {
-                    timeout(write_timeout, conn.framed.feed(ResponseFrame::Data(data)))
+                    timeout(write_timeout, viewer_conn.framed.feed(ResponseFrame::Data(data)))
                         .await
                         .map_err(|_| timeout_error())??;
                 }
                 None => break,
             }
         }
-        timeout(write_timeout, conn.framed.send(ResponseFrame::End)).await.map_err(|_| timeout_error())??;
+        timeout(write_timeout, viewer_conn.framed.send(ResponseFrame::End))
+            .await
+            .map_err(|_| timeout_error())??;
         Ok::<(), WireError>(())
     };
     match relay_body.await {
         Ok(()) => {
-            connection.return_to_pool();
-            conn.disposition()
+            server_conn.return_to_pool();
+            viewer_conn.disposition()
         }
         // The response has begun, so the buffered part is flushed and the close shows the viewer that it was
         // cut. Guards against a response that is buffered but never written, as if the front had not
         // answered.
         Err(e) => {
-            let _ = timeout(write_timeout, conn.framed.flush()).await;
+            let _ = timeout(write_timeout, viewer_conn.framed.flush()).await;
             tracing::debug!(session = route.map(|r| &*r.sid), error = %e, "response cut off");
             Disposition::Close
         }
--- a/crates/front/src/out_of_service/fleet_state.rs
+++ b/crates/front/src/out_of_service/fleet_state.rs
@@ -72,7 +72,7 @@
     let is_remembered =
         |s: &&cloverhollow_members::Seen| s.sure != Sure::Gone || now < s.since + forget_after;
     let remembered = newest.into_iter().filter(|(_, s)| is_remembered(s));
-    let known = |s: &cloverhollow_members::Seen| MemberStatus {
+    let member_status = |s: &cloverhollow_members::Seen| MemberStatus {
         place: front_place(&s.who.hall),
         availability: match s.sure {
             Sure::There if !is_ready(ready, s) => Availability::OutOfService,
@@ -80,5 +80,5 @@
         },
         link_kbit_s: 0,
     };
-    FleetView { members: remembered.map(|(subject, s)| (subject, known(s))).collect(), uncertain_for }
+    FleetView { members: remembered.map(|(subject, s)| (subject, member_status(s))).collect(), uncertain_for }
 }
--- a/crates/front/src/out_of_service/mod.rs
+++ b/crates/front/src/out_of_service/mod.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PendingChange {
     Grant,
-    GiveBack(u64),
+    Return(u64),
 }
 
 /// Permit as granted by the register.
@@ -125,7 +125,7 @@
             rack: u16::MAX,
         };
         let no_servers = MaxOutOfService { fleet: 0, zone: 0, rack: 0 };
-        let unsure_ms = members.suspicion_ms.get().as_millis() as u32;
+        let max_uncertain_ms = members.suspicion_ms.get().as_millis() as u32;
         let proposer_settings = ProposerConfig {
             address: own_address,
             incarnation,
@@ -148,7 +148,7 @@
                 cells_per_title: 0,
                 ring_cells: 0,
                 free_link_kbit_s: None,
-                max_uncertain_ms: unsure_ms,
+                max_uncertain_ms,
             },
             acceptor: is_witness
                 .then(|| Acceptor::new(now, own_address, incarnation, lease, persisted.acceptor)),
@@ -239,16 +239,16 @@
         };
         require(
             self.persisted_version <= self.attempted_version && self.attempted_version <= self.state_version,
-            "a state version is persisted before it exists",
+            "persisted version <= attempted version <= state version",
         )?;
         require(
             self.held_permit.is_none() || (self.leaving && self.unreturned.contains(&self.incarnation)),
-            "a held permit is not recorded as unreturned",
+            "a held permit is in use and recorded as unreturned",
         )?;
         require(
             self.unreturned.len() <= persistence::MAX_UNRETURNED
                 && self.delayed_replies.len() <= MAX_DELAYED_REPLIES,
-            "bounds",
+            "unreturned permits and delayed replies stay within their limits",
         )?;
         self.acceptor.as_ref().map_or(Ok(()), Acceptor::check_invariants)?;
         self.proposer.check_invariants()
@@ -259,7 +259,7 @@
         self.denial_reason.clone()
     }
 
-    fn seen<'a>(world: &'a FleetView, limits: &'a Limits) -> GrantContext<'a> {
-        GrantContext { fleet: world, limits }
+    fn grant_context<'a>(fleet: &'a FleetView, limits: &'a Limits) -> GrantContext<'a> {
+        GrantContext { fleet, limits }
     }
 }
--- a/crates/front/src/out_of_service/protocol.rs
+++ b/crates/front/src/out_of_service/protocol.rs
@@ -33,8 +33,8 @@
                 if let Message::Promise { accepted: Some((_, register)), .. } = &message {
                     self.record_register(now, register.clone());
                 }
-                let seen = OutOfService::seen(&self.fleet_state, &self.limits);
-                let messages = self.proposer.handle_message(now, message, seen);
+                let context = OutOfService::grant_context(&self.fleet_state, &self.limits);
+                let messages = self.proposer.handle_message(now, message, context);
                 self.queue_messages(messages);
             }
         }
@@ -110,23 +110,19 @@
         });
         // A permit that expired while the process was suspended does not count.
         let needs_permit = self.leaving && !self.held_permit.is_some_and(|h| h.granted.is_valid_at(now));
-        unreturned
-            .copied()
-            .next()
-            .map(PendingChange::GiveBack)
-            .or(needs_permit.then_some(PendingChange::Grant))
+        unreturned.copied().next().map(PendingChange::Return).or(needs_permit.then_some(PendingChange::Grant))
     }
 
     fn propose(&mut self, now: Duration) {
-        let Some(change_kind) = self.next_change(now) else { return };
-        if change_kind == PendingChange::Grant {
+        let Some(pending) = self.next_change(now) else { return };
+        if pending == PendingChange::Grant {
             // Recorded as unreturned before it is used: whatever happens to this incarnation, the next one
             // returns the permit.
             self.held_permit = None;
             self.add_unreturned(self.incarnation);
         }
-        let change = match change_kind {
-            PendingChange::GiveBack(_) => Change::ReturnPermit { subject: self.subject },
+        let change = match pending {
+            PendingChange::Return(_) => Change::ReturnPermit { subject: self.subject },
             PendingChange::Grant => Change::Grant {
                 subject: self.subject,
                 place: self.place,
@@ -134,14 +130,14 @@
                 release: None,
             },
         };
-        self.proposer.return_permits_of(if let PendingChange::GiveBack(incarnation) = change_kind {
+        self.proposer.return_permits_of(if let PendingChange::Return(incarnation) = pending {
             Some(incarnation)
         } else {
             None
         });
         self.next_proposal = now + MIN_PROPOSAL_DELAY + MIN_PROPOSAL_DELAY.mul_f64(fastrand::f64());
         if self.proposer.submit(now, change) {
-            self.pending_change = Some(change_kind);
+            self.pending_change = Some(pending);
         }
     }
 
@@ -149,7 +145,7 @@
         let Some(proposed) = self.pending_change.take() else { return };
         let subject = fleet_state::format_subject(self.subject);
         match (proposed, outcome) {
-            (PendingChange::GiveBack(incarnation), Outcome::Committed(register, _)) => {
+            (PendingChange::Return(incarnation), Outcome::Committed(register, _)) => {
                 self.unreturned.retain(|other| *other != incarnation);
                 self.state_version += 1;
                 tracing::info!(
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -88,17 +88,17 @@
     loop {
         exchange.publish_level();
         let now = shared.clock.now();
-        for ask in exchange.warmer.due(now) {
-            exchange.request(ask, None);
+        for request in exchange.warmer.due(now) {
+            exchange.send_request(request, None);
         }
         if delta_interval.is_some_and(|_| now >= next_delta) {
             next_delta = now + delta_interval.unwrap_or_default();
             exchange.request_delta();
         }
-        let due = exchange.warmer.next_due().into_iter().chain(delta_interval.map(|_| next_delta)).min();
-        let due = due.unwrap_or(now + Duration::from_secs(3600));
+        let wake_at = exchange.warmer.next_due().into_iter().chain(delta_interval.map(|_| next_delta)).min();
+        let wake_at = wake_at.unwrap_or(now + Duration::from_secs(3600));
         tokio::select! {
-            () = sleep_until(shared.clock.instant(due)) => {}
+            () = sleep_until(shared.clock.instant(wake_at)) => {}
             Some(Ok((peer, reply))) = exchange.requests.join_next() => exchange.handle_reply(peer, reply).await,
             Some((peer, outcome)) = merge_outcomes.recv() => exchange.handle_merge(peer, outcome),
         }
@@ -114,13 +114,13 @@
         self.status.add_peers(self.warmer.peers().collect());
     }
 
-    fn request(&mut self, ask: Ask, after: Option<u64>) {
+    fn send_request(&mut self, request: Ask, after: Option<u64>) {
         self.shared.stats.peer_requests.fetch_add(1, Relaxed);
         let (shared, own_address) = (self.shared.clone(), self.own_address);
         self.requests.spawn(async move {
             let deadline = shared.settings.peers.deadline_ms.get();
-            let reply = timeout(deadline, fetch_message(&shared, own_address, ask, after)).await;
-            (ask.peer, reply.unwrap_or(PeerReply::Failed))
+            let reply = timeout(deadline, fetch_message(&shared, own_address, request, after)).await;
+            (request.peer, reply.unwrap_or(PeerReply::Failed))
         });
     }
 
@@ -132,7 +132,7 @@
         let candidates: Vec<SocketAddr> = self.warmer.peers().collect();
         if let Some(peer) = fastrand::choice(candidates.iter()) {
             let after = self.last_seq.get(peer).copied();
-            self.request(Ask { peer: *peer, nonce: fastrand::u64(1..) }, after);
+            self.send_request(Ask { peer: *peer, nonce: fastrand::u64(1..) }, after);
         }
     }
 
@@ -170,21 +170,21 @@
 async fn fetch_message(
     shared: &Shared,
     own_address: Option<SocketAddr>,
-    ask: Ask,
+    request: Ask,
     after: Option<u64>,
 ) -> PeerReply {
     let requested_at = shared.clock.now();
     let (mut bytes, mut etag) = (Vec::new(), None);
     for _ in 0..=MAX_RESUMES {
-        match exchange_once(shared, own_address, ask, after, &mut bytes, &mut etag).await {
+        match exchange_once(shared, own_address, request, after, &mut bytes, &mut etag).await {
             Ok(None) => {
                 shared.stats.peer_bytes.fetch_add(bytes.len() as u64, Relaxed);
                 return match Message::decode(&bytes) {
                     Ok(message) => {
-                        PeerReply::Message { requested_at, nonce: ask.nonce, message: Box::new(message) }
+                        PeerReply::Message { requested_at, nonce: request.nonce, message: Box::new(message) }
                     }
                     Err(error) => {
-                        tracing::warn!(peer = %ask.peer, %error, "peer message cannot be decoded");
+                        tracing::warn!(peer = %request.peer, %error, "peer message cannot be decoded");
                         PeerReply::Failed
                     }
                 };
@@ -202,15 +202,15 @@
 async fn exchange_once(
     shared: &Shared,
     own_address: Option<SocketAddr>,
-    ask: Ask,
+    request: Ask,
     after: Option<u64>,
     bytes: &mut Vec<u8>,
     etag: &mut Option<String>,
 ) -> Result<Option<Duration>, WireError> {
     let invalid_data =
         |what: &'static str| WireError::Io(std::io::Error::new(std::io::ErrorKind::InvalidData, what));
-    let mut conn = connect(ask.peer).await?;
-    let mut path = format!("{PATH}?{NONCE_ARG}={}&{FORMAT_ARG}={FORMAT}", ask.nonce);
+    let mut conn = connect(request.peer).await?;
+    let mut path = format!("{PATH}?{NONCE_ARG}={}&{FORMAT_ARG}={FORMAT}", request.nonce);
     if let Some(after) = after {
         path += &format!("&{AFTER_ARG}={after}");
     }
@@ -219,7 +219,7 @@
     }
     let target = Target::parse(path.into()).ok_or_else(|| invalid_data("invalid request target"))?;
     let mut head = RequestHead::get(target);
-    head.headers.push("host", ask.peer.to_string());
+    head.headers.push("host", request.peer.to_string());
     head.headers.push("via", shared.via.clone());
     if let Some(value) = etag.as_ref().filter(|_| !bytes.is_empty()) {
         head.headers.push("range", format!("bytes={}-", bytes.len()));
@@ -233,7 +233,7 @@
         503 => return Ok(Some(retry_after(&head))),
         _ => {
             *etag = None;
-            return Err(invalid_data("refused"));
+            return Err(invalid_data("request refused"));
         }
     }
     *etag = head.headers.text("etag").map(str::to_string);
--- a/crates/front/src/persistence.rs
+++ b/crates/front/src/persistence.rs
@@ -36,7 +36,7 @@
 pub(crate) async fn load(settings: &FrontSettings) -> Loaded {
     let Some(path) = settings.keep.file.clone() else { return Loaded::default() };
     let cold_period = settings.rules.cold_ms.get();
-    let read = spawn_blocking(move || {
+    let loading = spawn_blocking(move || {
         let file = path.display().to_string();
         let existed = path.exists();
         let opened = match Keep::open(&path) {
@@ -61,7 +61,7 @@
         let knowledge = Message::decode(&persisted.knowledge).ok().map(Box::new);
         Loaded { store: Some(opened.keep), existed, list, knowledge }
     });
-    read.await.unwrap_or_default()
+    loading.await.unwrap_or_default()
 }
 
 /// Starts the task that persists each list sent to it, together with the current knowledge. Without a store
--- a/crates/front/src/side_endpoint.rs
+++ b/crates/front/src/side_endpoint.rs
@@ -40,7 +40,7 @@
     accepts_from_ms: AtomicU64,
     level: Mutex<(Level, Why)>,
     peers: Mutex<BTreeSet<SocketAddr>>,
-    feeds: Mutex<Feeds>,
+    transfers: Mutex<Feeds>,
     fleet: Option<Arc<FleetMember>>,
 }
 
@@ -59,7 +59,7 @@
             accepts_from_ms: AtomicU64::new(0),
             level: Mutex::new((Level::Cold, Why::NotBegun)),
             peers: Mutex::new(settings.addresses.iter().copied().collect()),
-            feeds: Mutex::new(Feeds::new(settings.feeds.count(), settings.hold_off_ms.get())),
+            transfers: Mutex::new(Feeds::new(settings.feeds.count(), settings.hold_off_ms.get())),
             fleet,
         }
     }
@@ -78,8 +78,8 @@
     }
 
     /// Sets the trust in previous incarnations, and the time from which viewers are accepted.
-    pub(crate) fn set_previous_incarnations(&self, trust: String, deaths: usize, accepts_from: Duration) {
-        let _ = self.previous_incarnations.set((trust, deaths));
+    pub(crate) fn set_previous_incarnations(&self, trust: String, crashes: usize, accepts_from: Duration) {
+        let _ = self.previous_incarnations.set((trust, crashes));
         self.accepts_from_ms.store(accepts_from.as_millis() as u64, Relaxed);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Waits until the warm start has ended, and, if `needs_list`, until discovery has sent a full list.
-    pub(crate) async fn warm_start_ended(&self, needs_list: bool) {
+    pub(crate) async fn wait_for_warm_start(&self, needs_list: bool) {
         // Polled: this is a single wait of a few hundred milliseconds.
         while lock(&self.level).0 == Level::Warming || (needs_list && !self.full_list_received.load(Relaxed))
         {
@@ -122,7 +122,7 @@
     pub(crate) fn add_peers(&self, all: Vec<SocketAddr>) {
         let mut peers = lock(&self.peers);
         let capacity = MOST_PEERS.saturating_sub(peers.len());
-        let new: Vec<_> = all.into_iter().filter(|p| !peers.contains(p)).take(capacity).collect();
+        let new: Vec<_> = all.into_iter().filter(|peer| !peers.contains(peer)).take(capacity).collect();
         peers.extend(new);
     }
 }
@@ -155,7 +155,7 @@
     let (code, body) = match request.target.path() {
         "/health" => health(shared, status),
         "/metrics" => (200, metrics(shared, status)),
-        members::PAGE => match &status.fleet {
+        members::STATUS_PAGE_PATH => match &status.fleet {
             Some(fleet) => (200, fleet.status_page().to_string()),
             None => (404, String::new()),
         },
@@ -193,12 +193,12 @@
     let serving = status.servers_serving.load(Relaxed);
     let (level, level_reason) = *lock(&status.level);
     let time_until_open = status.time_until_open(shared.clock.now());
-    let (trust, deaths) = status.previous_incarnations.get().cloned().unwrap_or_default();
+    let (trust, crashes) = status.previous_incarnations.get().cloned().unwrap_or_default();
     let write_error = shared.log.status.write_error();
     let reason = if let Some(other) = status.superseded_by() {
         format!("another, younger process bears this name, at {other}")
     } else if !time_until_open.is_zero() {
-        format!("{deaths} deaths one after the other: closed for {} ms", time_until_open.as_millis())
+        format!("{crashes} deaths one after the other: closed for {} ms", time_until_open.as_millis())
     } else if let Some(error) = &write_error {
         format!("paid set-ups cannot be taken down: {error}")
     } else if serving == 0 {
@@ -212,7 +212,7 @@
         "ready": ready,
         "why": reason,
         "before": trust,
-        "deaths": deaths,
+        "deaths": crashes,
         "level": level.word(),
         "level_why": level_reason.words(),
         "knows_servers": shared.knowledge.latest().servers(),
--- a/crates/front/src/side_endpoint/transfers.rs
+++ b/crates/front/src/side_endpoint/transfers.rs
@@ -15,13 +15,13 @@
 
 impl Drop for TransferSlot<'_> {
     fn drop(&mut self) {
-        lock(&self.0.feeds).end();
+        lock(&self.0.transfers).end();
     }
 }
 
 /// Sends the full member list to a member.
 pub(super) async fn send_member_list(conn: &mut ServerConn, request: &RequestHead, status: &FrontStatus) {
-    let nonce = request.target.argument(members::NONCE).and_then(|t| t.parse::<u64>().ok());
+    let nonce = request.target.argument(members::NONCE_ARG).and_then(|t| t.parse::<u64>().ok());
     let body = nonce.and_then(|nonce| status.fleet.as_ref()?.sealed_member_list(nonce));
     let code = if body.is_some() { 200 } else { 404 };
     let body = body.unwrap_or_default();
@@ -42,7 +42,7 @@
     if number(FORMAT_ARG) != Some(wire::FORMAT.into()) {
         return respond(conn, ResponseHead::new(406, 0), Bytes::new()).await;
     }
-    let slot = lock(&status.feeds).begin();
+    let slot = lock(&status.transfers).begin();
     if let Err(refused) = slot {
         let mut head = ResponseHead::new(503, 0);
         head.headers.push("retry-after", refused.after.as_secs_f64().ceil().to_string());
@@ -56,7 +56,7 @@
     let etag = text("if-range").and_then(|t| t.trim_matches('"').parse().ok());
     let start =
         text("range").and_then(|r| r.strip_prefix("bytes=")?.strip_suffix('-')?.parse::<usize>().ok());
-    let transfer = etag.and_then(|tag| lock(&status.feeds).kept(now, tag));
+    let transfer = etag.and_then(|tag| lock(&status.transfers).kept(now, tag));
     let (code, transfer, start) = match (transfer, start) {
         (Some(transfer), Some(start)) if start <= transfer.bytes.len() => (206, transfer, start),
         _ => {
@@ -71,7 +71,7 @@
                 return respond(conn, ResponseHead::new(500, 0), Bytes::new()).await;
             };
             shared.stats.peer_response_us.fetch_add(started_at.elapsed().as_micros() as u64, Relaxed);
-            (200, lock(&status.feeds).keep(now, bytes), 0)
+            (200, lock(&status.transfers).keep(now, bytes), 0)
         }
     };
     let rest = Bytes::copy_from_slice(&transfer.bytes[start..]);
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -97,7 +97,7 @@
         self.send(head, "").await
     }
 
-    /// Sends 503: no set-up was executed, and the viewer may retry after `delay`.
+    /// Sends 503: no set-up was executed, and the viewer may retry after `retry_after`.
     pub(crate) async fn refuse(
         &mut self,
         retry_after: Duration,
@@ -129,16 +129,16 @@
     loop {
         if conn.framed.read_buffer().is_empty() {
             let mut byte = [0];
-            let first = timeout(listen.idle_ms.get(), conn.framed.get_ref().peek(&mut byte)).await;
-            if !matches!(first, Ok(Ok(n)) if n > 0) {
+            let first_byte = timeout(listen.idle_ms.get(), conn.framed.get_ref().peek(&mut byte)).await;
+            if !matches!(first_byte, Ok(Ok(n)) if n > 0) {
                 return; // idle for too long, closed, or failed
             }
         }
         let head = match timeout(listen.head_ms.get(), conn.framed.next()).await {
             Ok(Some(Ok(RequestFrame::Head(head)))) => head,
-            Ok(Some(Err(WireError::Malformed(m)))) => {
-                tracing::debug!(error = %m, "malformed request");
-                return conn.send_final(m.status()).await;
+            Ok(Some(Err(WireError::Malformed(error)))) => {
+                tracing::debug!(%error, "malformed request");
+                return conn.send_final(error.status()).await;
             }
             Err(_) => return conn.send_final(408).await,
             Ok(_) => return,
@@ -154,7 +154,7 @@
                 continue;
             }
             Ok(Ok(None)) => 413,
-            Ok(Err(WireError::Malformed(m))) => m.status(),
+            Ok(Err(WireError::Malformed(error))) => error.status(),
             Ok(Err(WireError::Io(_))) => return,
             Err(_) => 408,
         };
--- a/crates/front/src/write_ahead_log.rs
+++ b/crates/front/src/write_ahead_log.rs
@@ -83,7 +83,7 @@
 impl WriteReceipt {
     /// Returns true if the effect may take place. Waits as long as the disk takes; callers have their own
     /// time-outs.
-    pub(crate) async fn is_confirmed(self) -> bool {
+    pub(crate) async fn wait_confirmed(self) -> bool {
         match self {
             WriteReceipt::NotRequired => true,
             WriteReceipt::Pending(confirm_rx) => confirm_rx.await.unwrap_or(false),
@@ -110,12 +110,12 @@
 }
 
 impl WriteAheadLog {
-    /// Creates the handle of a front that persists nothing; every receipt is granted.
+    /// Creates the handle of a front that persists nothing; every receipt is confirmed.
     pub(crate) fn disabled() -> Self {
         WriteAheadLog { command_tx: None, status: Arc::default() }
     }
 
-    /// Creates the handle of a front whose log cannot be opened; no receipt is ever granted.
+    /// Creates the handle of a front whose log cannot be opened; no receipt is ever confirmed.
     pub(crate) fn unavailable() -> Self {
         let (command_tx, _) = mpsc::channel(1);
         let status = Arc::new(LogStatus::default());
@@ -123,7 +123,7 @@
         WriteAheadLog { command_tx: Some(command_tx), status }
     }
 
-    /// Starts the writer thread. It first rewrites the log with `ledger` and the record `began`.
+    /// Starts the writer thread. It first rewrites the log with `ledger`, and applies `start_record` to it.
     pub(crate) fn start(
         storage: Box<dyn Paper>,
         ledger: Ledger,
@@ -322,8 +322,8 @@
 
         fn records(&self) -> Vec<Deed> {
             let buffer = self.buffer.lock().unwrap();
-            let all = frame::read(&buffer).unwrap().deeds.into_iter().map(|(_, record)| record);
-            all.filter(|d| !matches!(d, Deed::Whole(_))).collect()
+            let records = frame::read(&buffer).unwrap().deeds.into_iter().map(|(_, record)| record);
+            records.filter(|record| !matches!(record, Deed::Whole(_))).collect()
         }
     }
 
@@ -354,27 +354,27 @@
     }
 
     #[tokio::test]
-    async fn a_ticket_is_granted_once_the_deed_is_on_the_paper() {
+    async fn receipt_is_confirmed_once_the_record_is_persisted() {
         let storage = MemoryLog::default();
         let log = start_log(&storage);
-        assert!(log.append_confirmed(sent_record(1)).is_confirmed().await);
+        assert!(log.append_confirmed(sent_record(1)).wait_confirmed().await);
         assert_eq!(storage.records(), [sent_record(1)]);
         log.append(Deed::Listed { server: 4, serves: false });
         log.close().await;
         assert_eq!(storage.records().last(), Some(&Deed::Ended));
-        assert!(!log.append_confirmed(sent_record(2)).is_confirmed().await, "the writer has stopped");
+        assert!(!log.append_confirmed(sent_record(2)).wait_confirmed().await, "the writer has stopped");
     }
 
     #[tokio::test]
-    async fn a_slow_disk_takes_many_deeds_in_one_write() {
+    async fn slow_disk_groups_queued_records_into_one_write() {
         let storage = MemoryLog::default();
         let log = start_log(&storage);
-        assert!(log.append_confirmed(sent_record(0)).is_confirmed().await);
+        assert!(log.append_confirmed(sent_record(0)).wait_confirmed().await);
         storage.write_delay_ms.store(200, Relaxed);
         let before = storage.appends.load(Relaxed);
         let receipts: Vec<_> = (1..=500).map(|n| log.append_confirmed(sent_record(n))).collect();
         for receipt in receipts {
-            assert!(receipt.is_confirmed().await);
+            assert!(receipt.wait_confirmed().await);
         }
         assert_eq!(storage.records().len(), 501);
         let writes = storage.appends.load(Relaxed) - before;
@@ -382,26 +382,26 @@
     }
 
     #[tokio::test]
-    async fn a_full_disk_grants_nothing_and_one_that_has_room_again_does() {
+    async fn full_disk_confirms_nothing_until_space_is_free() {
         let storage = MemoryLog::default();
         let log = start_log(&storage);
-        assert!(log.append_confirmed(sent_record(1)).is_confirmed().await);
+        assert!(log.append_confirmed(sent_record(1)).wait_confirmed().await);
         storage.full.store(true, Relaxed);
-        assert!(!log.append_confirmed(sent_record(2)).is_confirmed().await);
+        assert!(!log.append_confirmed(sent_record(2)).wait_confirmed().await);
         assert!(log.status.write_error().is_some());
         log.append(Deed::Listed { server: 4, serves: false });
         storage.full.store(false, Relaxed);
         while log.status.write_error().is_some() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert!(log.append_confirmed(sent_record(3)).is_confirmed().await);
+        assert!(log.append_confirmed(sent_record(3)).wait_confirmed().await);
         // The rejected record is absent; the effect that took place meanwhile is present.
         assert!(storage.records().contains(&sent_record(3)) && !storage.records().contains(&sent_record(2)));
         let mut ledger = Ledger::default();
         for (at, record) in frame::read(&storage.buffer.lock().unwrap()).unwrap().deeds {
             ledger.apply(at, &record, &Bounds::default());
         }
-        assert_eq!(ledger.paid().iter().len(), 2, "the first and the third");
+        assert_eq!(ledger.paid().iter().len(), 2, "the first and the third record are paid");
         assert!(ledger.stopped().contains(&4));
     }
 }
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -20,13 +20,13 @@
 use tokio_util::codec::Framed;
 
 /// Scripted response of a peer, by the index of the request (from 0), its nonce and its head.
-type Reply = Arc<dyn Fn(usize, u64, &RequestHead) -> (ResponseHead, Vec<u8>) + Send + Sync>;
+type ReplyFn = Arc<dyn Fn(usize, u64, &RequestHead) -> (ResponseHead, Vec<u8>) + Send + Sync>;
 
-async fn peer(reply: Reply) -> (SocketAddr, Arc<AtomicUsize>) {
+async fn start_peer(reply: ReplyFn) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let asked = Arc::new(AtomicUsize::new(0));
-    let count = asked.clone();
+    let requests = Arc::new(AtomicUsize::new(0));
+    let count = requests.clone();
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
@@ -42,28 +42,28 @@
             });
         }
     });
-    (address, asked)
+    (address, requests)
 }
 
 /// Message of a warm front: server 1 drains since version 9 of the list.
-fn message(nonce: u64, fleet: &str) -> Message {
-    let me = Observer { instance: 77, incarnation: 1 };
-    let mut book = Book::new(me, title_id(fleet), Duration::from_secs(30));
-    book.listed(Duration::from_secs(100), 1, State { version: 9, standing: Standing::Draining });
-    book.view().message(Duration::from_secs(101), nonce, None, Level::Warm, Vec::new())
+fn warm_message(nonce: u64, fleet: &str) -> Message {
+    let observer = Observer { instance: 77, incarnation: 1 };
+    let mut store = Book::new(observer, title_id(fleet), Duration::from_secs(30));
+    store.listed(Duration::from_secs(100), 1, State { version: 9, standing: Standing::Draining });
+    store.view().message(Duration::from_secs(101), nonce, None, Level::Warm, Vec::new())
 }
 
-fn whole(nonce: u64) -> Vec<u8> {
-    message(nonce, "fleet").encode().unwrap()
+fn encoded_message(nonce: u64) -> Vec<u8> {
+    warm_message(nonce, "fleet").encode().unwrap()
 }
 
-fn ok(body: Vec<u8>) -> (ResponseHead, Vec<u8>) {
+fn ok_response(body: Vec<u8>) -> (ResponseHead, Vec<u8>) {
     let mut head = ResponseHead::new(200, body.len());
     head.headers.push("etag", "\"5\"");
     (head, body)
 }
 
-fn asking(peers: &[SocketAddr]) -> String {
+fn peer_settings(peers: &[SocketAddr]) -> String {
     let all: Vec<String> = peers.iter().map(|p| format!("\"{p}\"")).collect();
     format!(
         "peers: {{addresses: [{}], jitter_ms: 0, deadline_ms: 400, hedge_ms: 50, hold_ms: 5000, enough: 1, every_ms: 0}}",
@@ -73,152 +73,178 @@
 
 /// Starts a front over two servers with these peers, and returns it with its health once the warm start has
 /// ended.
-async fn started(servers: [&Peer; 2], peers: &[SocketAddr]) -> (Setup, String) {
-    let s = over(&servers, &asking(peers)).await;
-    let side = s.front.side_address.unwrap();
-    let ended = async {
+async fn start_with_peers(servers: [&ScriptedServer; 2], peers: &[SocketAddr]) -> (TestFront, String) {
+    let front = start_ready_front(&servers, &peer_settings(peers)).await;
+    let side = front.front.side_address.unwrap();
+    let warm_start = async {
         loop {
-            let health = raw(side, "GET /health HTTP/1.1\r\nhost: x\r\n\r\n").await;
+            let health = send_raw(side, "GET /health HTTP/1.1\r\nhost: x\r\n\r\n").await;
             if !health.contains("\"level\":\"warming\"") {
                 return health;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let health = tokio::time::timeout(LONG, ended).await.expect("the warm start ends");
-    (s, health)
+    let health = tokio::time::timeout(TEST_TIMEOUT, warm_start).await.expect("the warm start ends");
+    (front, health)
 }
 
 /// Sets up eight sessions and returns how many went to the first server.
-async fn to_first(s: &Setup, first: &Peer) -> usize {
+async fn sessions_at_first(front: &TestFront, first: &ScriptedServer) -> usize {
     for i in 0..8 {
-        let got = raw(s.address, &get("/club/clip/t1/0", &sid(&format!("w{i}")))).await;
+        let got =
+            send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers(&format!("w{i}"))))
+                .await;
         assert!(got.starts_with("HTTP/1.1 200"), "{got}");
     }
     first.setups()
 }
 
 #[tokio::test]
-async fn a_peers_newer_word_on_a_drain_is_kept_by_a_front_that_comes_back() {
-    let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
-    let (warm, _) = peer(Arc::new(|_, nonce, _| ok(whole(nonce)))).await;
-    let (s, health) = started([&first, &second], &[warm]).await;
+async fn restarted_front_applies_a_newer_drain_from_a_peer() {
+    let (first, second) = (
+        ScriptedServer::start(Behavior::ServesStream).await,
+        ScriptedServer::start(Behavior::ServesStream).await,
+    );
+    let (warm, _) = start_peer(Arc::new(|_, nonce, _| ok_response(encoded_message(nonce)))).await;
+    let (front, health) = start_with_peers([&first, &second], &[warm]).await;
     assert!(health.contains("\"level\":\"warm\"") && health.contains("enough warm peers"), "{health}");
-    assert_eq!(to_first(&s, &first).await, 0);
+    assert_eq!(sessions_at_first(&front, &first).await, 0);
 }
 
 #[tokio::test]
-async fn a_transfer_that_is_cut_goes_on_where_it_was_cut() {
-    let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
-    let cuts: Reply = Arc::new(|n, nonce, head| {
-        let all = whole(nonce);
+async fn interrupted_transfer_resumes_where_it_stopped() {
+    let (first, second) = (
+        ScriptedServer::start(Behavior::ServesStream).await,
+        ScriptedServer::start(Behavior::ServesStream).await,
+    );
+    let interrupting_reply: ReplyFn = Arc::new(|n, nonce, head| {
+        let all = encoded_message(nonce);
         let text = |name: &str| head.headers.text(name).map(str::to_string);
         if n == 0 {
-            let (head, _) = ok(all.clone());
+            let (head, _) = ok_response(all.clone());
             return (ResponseHead { keep_alive: false, ..head }, all[..all.len() / 2].to_vec());
         }
         assert_eq!(text("range"), Some(format!("bytes={}-", all.len() / 2)));
         assert_eq!(text("if-range").as_deref(), Some("\"5\""));
         let rest = all[all.len() / 2..].to_vec();
-        (ResponseHead { status: 206, ..ok(rest.clone()).0 }, rest)
+        (ResponseHead { status: 206, ..ok_response(rest.clone()).0 }, rest)
     });
-    let listener = peer(cuts).await;
-    let (s, health) = started([&first, &second], &[listener.0]).await;
+    let interrupted = start_peer(interrupting_reply).await;
+    let (front, health) = start_with_peers([&first, &second], &[interrupted.0]).await;
     assert!(health.contains("\"level\":\"warm\""), "{health}");
-    assert_eq!((to_first(&s, &first).await, listener.1.load(Relaxed)), (0, 2));
+    assert_eq!((sessions_at_first(&front, &first).await, interrupted.1.load(Relaxed)), (0, 2));
 }
 
 #[tokio::test]
-async fn peers_that_cannot_be_trusted_are_passed_over_and_the_front_starts_cold() {
-    let cases: Vec<(&str, Reply)> = vec![
+async fn untrustworthy_peers_are_ignored_and_the_front_starts_cold() {
+    let cases: Vec<(&str, ReplyFn)> = vec![
         (
-            "garbled",
+            "corrupt",
             Arc::new(|_, nonce, _| {
-                let mut bytes = whole(nonce);
-                let at = bytes.len() - 1;
-                bytes[at] ^= 1;
-                ok(bytes)
+                let mut bytes = encoded_message(nonce);
+                let last = bytes.len() - 1;
+                bytes[last] ^= 1;
+                ok_response(bytes)
             }),
         ),
-        ("a replay of an answer to somebody else", Arc::new(|_, _, _| ok(whole(1)))),
-        ("of another fleet", Arc::new(|_, nonce, _| ok(message(nonce, "others").encode().unwrap()))),
+        ("replay of a response to another request", Arc::new(|_, _, _| ok_response(encoded_message(1)))),
+        (
+            "from another fleet",
+            Arc::new(|_, nonce, _| ok_response(warm_message(nonce, "others").encode().unwrap())),
+        ),
         (
-            "of a newer format",
+            "newer format",
             Arc::new(|_, nonce, _| {
-                let mut bytes = whole(nonce);
+                let mut bytes = encoded_message(nonce);
                 bytes[4] = 200;
-                ok(bytes)
+                ok_response(bytes)
             }),
         ),
-        ("of an older format, says so", Arc::new(|_, _, _| (ResponseHead::new(406, 0), Vec::new()))),
-        ("no front at all", Arc::new(|_, _, _| ok(b"<html>".to_vec()))),
-        ("oversized", Arc::new(|_, _, _| ok(vec![0; 17 * 1024 * 1024]))),
+        ("older format, refused with 406", Arc::new(|_, _, _| (ResponseHead::new(406, 0), Vec::new()))),
+        ("not a front", Arc::new(|_, _, _| ok_response(b"<html>".to_vec()))),
+        ("oversized", Arc::new(|_, _, _| ok_response(vec![0; 17 * 1024 * 1024]))),
     ];
-    for (what, reply) in cases {
-        let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
-        let (bad, _) = peer(reply).await;
-        let (s, health) = started([&first, &second], &[bad]).await;
-        assert!(health.contains("\"level\":\"cold\""), "{what}: {health}");
-        assert!(to_first(&s, &first).await > 0, "{what}: nothing of it is taken");
+    for (case, reply) in cases {
+        let (first, second) = (
+            ScriptedServer::start(Behavior::ServesStream).await,
+            ScriptedServer::start(Behavior::ServesStream).await,
+        );
+        let (bad, _) = start_peer(reply).await;
+        let (front, health) = start_with_peers([&first, &second], &[bad]).await;
+        assert!(health.contains("\"level\":\"cold\""), "{case}: {health}");
+        assert!(sessions_at_first(&front, &first).await > 0, "{case}: its message must not be used");
     }
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_or_silent_is_hedged_by_another() {
-    let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
+async fn unreachable_or_silent_peers_are_hedged() {
+    let (first, second) = (
+        ScriptedServer::start(Behavior::ServesStream).await,
+        ScriptedServer::start(Behavior::ServesStream).await,
+    );
     let gone = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (warm, _) = peer(Arc::new(|_, nonce, _| ok(whole(nonce)))).await;
-    let (s, health) = started([&first, &second], &[gone, silent.local_addr().unwrap(), warm]).await;
+    let (warm, _) = start_peer(Arc::new(|_, nonce, _| ok_response(encoded_message(nonce)))).await;
+    let (front, health) =
+        start_with_peers([&first, &second], &[gone, silent.local_addr().unwrap(), warm]).await;
     assert!(health.contains("\"level\":\"warm\""), "{health}");
-    assert_eq!(to_first(&s, &first).await, 0);
+    assert_eq!(sessions_at_first(&front, &first).await, 0);
 }
 
 #[tokio::test]
-async fn a_busy_peer_is_asked_again_after_its_hold_off() {
-    let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
-    let busy: Reply = Arc::new(|n, nonce, _| {
+async fn busy_peer_is_retried_after_its_delay() {
+    let (first, second) = (
+        ScriptedServer::start(Behavior::ServesStream).await,
+        ScriptedServer::start(Behavior::ServesStream).await,
+    );
+    let busy: ReplyFn = Arc::new(|n, nonce, _| {
         if n > 0 {
-            return ok(whole(nonce));
+            return ok_response(encoded_message(nonce));
         }
         let mut head = ResponseHead::new(503, 0);
         head.headers.push("retry-after", "1");
         head.headers.push("cloverhollow-retry-after-ms", "30");
         (head, Vec::new())
     });
-    let (address, asked) = peer(busy).await;
-    let (_s, health) = started([&first, &second], &[address]).await;
+    let (address, requests) = start_peer(busy).await;
+    let (_front, health) = start_with_peers([&first, &second], &[address]).await;
     assert!(health.contains("\"level\":\"warm\""), "{health}");
-    assert_eq!(asked.load(Relaxed), 2);
+    assert_eq!(requests.load(Relaxed), 2);
 }
 
 #[tokio::test]
-async fn real_fronts_feed_each_other_and_cold_ones_do_not_count_as_warm() {
-    let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
-    let cold = over(&[&first, &second], "instance: {name: front-8, seed: 3}").await;
-    let (s, health) = started([&first, &second], &[cold.front.side_address.unwrap()]).await;
+async fn fronts_exchange_knowledge_and_cold_ones_do_not_count_as_warm() {
+    let (first, second) = (
+        ScriptedServer::start(Behavior::ServesStream).await,
+        ScriptedServer::start(Behavior::ServesStream).await,
+    );
+    let cold = start_ready_front(&[&first, &second], "instance: {name: front-8, seed: 3}").await;
+    let (front, health) = start_with_peers([&first, &second], &[cold.front.side_address.unwrap()]).await;
     assert!(health.contains("\"level\":\"cold\"") && health.contains("cold too"), "{health}");
-    assert!(health.contains("\"knows_servers\":2"), "what it said is known all the same: {health}");
-    let got = raw(s.address, &get("/club/clip/t1/0", &sid("x"))).await;
+    assert!(health.contains("\"knows_servers\":2"), "its knowledge is merged all the same: {health}");
+    let got = send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers("x"))).await;
     assert!(got.starts_with("HTTP/1.1 200"), "{got}");
-    let metrics = raw(cold.front.side_address.unwrap(), "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
+    let metrics =
+        send_raw(cold.front.side_address.unwrap(), "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert!(metrics.contains("cloverhollow_peer_fed_total 1"), "{metrics}");
     // Malformed and incompatible requests get their status.
-    for (path, want) in [
+    for (path, expected_status) in [
         ("/v1/knowledge", "400"),
         ("/v1/knowledge?nonce=1&format=9", "406"),
         ("/v1/knowledge?nonce=1&format=1", "200"),
     ] {
         let got =
-            raw(cold.front.side_address.unwrap(), &format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n")).await;
-        assert!(got.starts_with(&format!("HTTP/1.1 {want}")), "{path}: {got}");
+            send_raw(cold.front.side_address.unwrap(), &format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n"))
+                .await;
+        assert!(got.starts_with(&format!("HTTP/1.1 {expected_status}")), "{path}: {got}");
     }
 }
 
 #[test]
-fn the_description_names_what_is_served() {
+fn openapi_description_covers_the_exchange() {
     let text = include_str!("../../../docs/openapi/knowledge.yaml");
-    for word in [
+    for name in [
         "/v1/knowledge:",
         "name: nonce",
         "name: format",
@@ -232,6 +258,6 @@
         "cloverhollow-retry-after-ms",
         "application/vnd.cloverhollow.knowledge",
     ] {
-        assert!(text.contains(word), "{word} is missing in docs/openapi/knowledge.yaml");
+        assert!(text.contains(name), "{name} is missing in docs/openapi/knowledge.yaml");
     }
 }
