--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -10,7 +10,7 @@
 
 #[tokio::test]
 async fn malformed_and_oversized_requests_get_their_status_and_a_close() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(
         &[&server],
         "listen: {address: \"127.0.0.1:0\", head_bytes: 600, header_lines: 10, report_bytes: 100}",
@@ -44,13 +44,13 @@
         assert!(got.contains("connection: close"), "{got:?}");
         assert_eq!(got.matches("HTTP/1.1 ").count(), 1, "exactly one response: {got:?}");
     }
-    let got = send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers("after"))).await;
+    let got = send_raw(front.address, &get_request("/club/clip/t1/0", &session_headers("after"))).await;
     assert!(got.starts_with("HTTP/1.1 200"), "the next viewer is served: {got}");
 }
 
 #[tokio::test]
 async fn slow_head_gets_408_and_idle_connection_closes_silently() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front =
         start_ready_front(&[&server], "listen: {address: \"127.0.0.1:0\", head_ms: 150, idle_ms: 400}").await;
     let mut slow = TcpStream::connect(front.address).await.unwrap();
@@ -63,7 +63,7 @@
 
 #[tokio::test]
 async fn connection_over_the_limit_gets_503_until_a_slot_is_free() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(&[&server], "listen: {address: \"127.0.0.1:0\", connections: 2}").await;
     let (one, two) =
         (TcpStream::connect(front.address).await.unwrap(), TcpStream::connect(front.address).await.unwrap());
@@ -73,8 +73,7 @@
     drop((one, two));
     let retry = async {
         loop {
-            let got =
-                send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers("x"))).await;
+            let got = send_raw(front.address, &get_request("/club/clip/t1/0", &session_headers("x"))).await;
             if got.starts_with("HTTP/1.1 200") {
                 return;
             }
@@ -86,9 +85,9 @@
 
 #[tokio::test]
 async fn pipelined_requests_are_answered_in_order() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(&[&server], "").await;
-    let one = format!("GET /club/clip/t1/0 HTTP/1.1\r\nhost: f\r\n{}\r\n", new_session_headers("x"));
+    let one = format!("GET /club/clip/t1/0 HTTP/1.1\r\nhost: f\r\n{}\r\n", session_headers("x"));
     let two = get_request("/club/clip/t1/1", "cmcd-session: sid=\"x\"\r\n");
     let got = send_raw(front.address, &(one + &two)).await;
     let (first, second) = (
@@ -100,7 +99,7 @@
 
 #[tokio::test]
 async fn front_keeps_serving_after_garbage_on_many_connections() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(&[&server], "").await;
     // The same input in each run: a linear congruential generator with a fixed seed.
     let mut state = 0x2545_f491_4f6c_dd1d_u64;
@@ -119,6 +118,6 @@
             .await
             .expect("the front closes the connection");
     }
-    let got = send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers("after"))).await;
+    let got = send_raw(front.address, &get_request("/club/clip/t1/0", &session_headers("after"))).await;
     assert!(got.starts_with("HTTP/1.1 200"), "{got}");
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -20,10 +20,10 @@
 /// Time limit far above any wait of these tests: a hang fails, a busy machine does not.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Behaviour of a scripted server on a set-up.
+/// Scripted reaction of a server to a set-up.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Behavior {
-    ServesStream,
+pub enum Script {
+    Serves,
     ClosesOnAccept,
     ClosesAfterReading,
     ClosesInBody,
@@ -33,13 +33,13 @@
 }
 
 /// Scripted server that records the requests it received.
-pub struct ScriptedServer {
+pub struct TestServer {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl ScriptedServer {
-    pub async fn start(behavior: Behavior) -> ScriptedServer {
+impl TestServer {
+    pub async fn start(script: Script) -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let requests = Arc::new(Mutex::new(Vec::new()));
@@ -47,10 +47,10 @@
         tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
-                tokio::spawn(serve(stream, behavior, recorded.clone()));
+                tokio::spawn(serve(stream, script, recorded.clone()));
             }
         });
-        ScriptedServer { address, requests }
+        TestServer { address, requests }
     }
 
     pub fn requests(&self) -> Vec<String> {
@@ -79,9 +79,9 @@
     head.headers.text(name).unwrap_or_default().to_string()
 }
 
-async fn serve(stream: TcpStream, behavior: Behavior, requests: Arc<Mutex<Vec<String>>>) {
+async fn serve(stream: TcpStream, script: Script, requests: Arc<Mutex<Vec<String>>>) {
     let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
-    if behavior == Behavior::ClosesOnAccept {
+    if script == Script::ClosesOnAccept {
         return;
     }
     while let Some(Ok(RequestFrame::Head(head))) = conn.next().await {
@@ -102,32 +102,32 @@
             continue;
         }
         let mut response = ResponseHead::new(200, 4);
-        match behavior {
-            Behavior::ServesStream => {
+        match script {
+            Script::Serves => {
                 response.headers.push("cmsd-dynamic", "\"peer\";etp=80000;com.cloverhollow-link=0.3");
                 let _ = write_response(&mut conn, response, "play").await;
             }
-            Behavior::ClosesInBody => {
+            Script::ClosesInBody => {
                 response.framing = Framing::Length(1_000_000);
                 let _ = conn.feed(ResponseFrame::Head(response)).await;
                 let _ = conn.send(ResponseFrame::Data("cut".into())).await;
                 return;
             }
-            Behavior::ReportsFull => {
+            Script::ReportsFull => {
                 let mut response = ResponseHead::new(503, 0);
                 response.headers.push("cmsd-dynamic", "\"peer\";com.cloverhollow-unrun");
                 let _ = write_response(&mut conn, response, Bytes::new()).await;
             }
-            Behavior::ReturnsError => {
+            Script::ReturnsError => {
                 let _ = write_response(&mut conn, ResponseHead::new(500, 0), Bytes::new()).await;
             }
-            Behavior::NeverResponds => {
+            Script::NeverResponds => {
                 // Returns once the front closes the connection.
                 let _ = conn.next().await;
                 record("closed by the front".into());
                 return;
             }
-            Behavior::ClosesAfterReading | Behavior::ClosesOnAccept => return,
+            Script::ClosesAfterReading | Script::ClosesOnAccept => return,
         }
     }
 }
@@ -193,7 +193,7 @@
 }
 
 /// Starts a front over these servers and waits until it is ready.
-pub async fn start_ready_front(servers: &[&ScriptedServer], extra_settings: &str) -> TestFront {
+pub async fn start_ready_front(servers: &[&TestServer], extra_settings: &str) -> TestFront {
     let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
     let front = start_front(start_discovery(&addresses).await, extra_settings).await;
     wait_ready(&front).await;
@@ -220,7 +220,7 @@
     format!("GET {path} HTTP/1.1\r\nhost: front\r\nconnection: close\r\n{headers}\r\n")
 }
 
-pub fn new_session_headers(id: &str) -> String {
+pub fn session_headers(id: &str) -> String {
     format!("cmcd-session: sid=\"{id}\"\r\ncmcd-request: su\r\n")
 }
 
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -73,7 +73,7 @@
 
 /// Starts a front over two servers with these peers, and returns it with its health once the warm start has
 /// ended.
-async fn start_with_peers(servers: [&ScriptedServer; 2], peers: &[SocketAddr]) -> (TestFront, String) {
+async fn start_with_peers(servers: [&TestServer; 2], peers: &[SocketAddr]) -> (TestFront, String) {
     let front = start_ready_front(&servers, &peer_settings(peers)).await;
     let side = front.front.side_address.unwrap();
     let warm_start = async {
@@ -90,10 +90,10 @@
 }
 
 /// Sets up eight sessions and returns how many went to the first server.
-async fn sessions_at_first(front: &TestFront, first: &ScriptedServer) -> usize {
+async fn sessions_at_first(front: &TestFront, first: &TestServer) -> usize {
     for i in 0..8 {
         let got =
-            send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers(&format!("w{i}"))))
+            send_raw(front.address, &get_request("/club/clip/t1/0", &session_headers(&format!("w{i}"))))
                 .await;
         assert!(got.starts_with("HTTP/1.1 200"), "{got}");
     }
@@ -102,10 +102,7 @@
 
 #[tokio::test]
 async fn restarted_front_applies_a_newer_drain_from_a_peer() {
-    let (first, second) = (
-        ScriptedServer::start(Behavior::ServesStream).await,
-        ScriptedServer::start(Behavior::ServesStream).await,
-    );
+    let (first, second) = (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
     let (warm, _) = start_peer(Arc::new(|_, nonce, _| ok_response(encoded_message(nonce)))).await;
     let (front, health) = start_with_peers([&first, &second], &[warm]).await;
     assert!(health.contains("\"level\":\"warm\"") && health.contains("enough warm peers"), "{health}");
@@ -114,10 +111,7 @@
 
 #[tokio::test]
 async fn interrupted_transfer_resumes_where_it_stopped() {
-    let (first, second) = (
-        ScriptedServer::start(Behavior::ServesStream).await,
-        ScriptedServer::start(Behavior::ServesStream).await,
-    );
+    let (first, second) = (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
     let interrupting_reply: ReplyFn = Arc::new(|n, nonce, head| {
         let all = encoded_message(nonce);
         let text = |name: &str| head.headers.text(name).map(str::to_string);
@@ -166,10 +160,8 @@
         ("oversized", Arc::new(|_, _, _| ok_response(vec![0; 17 * 1024 * 1024]))),
     ];
     for (case, reply) in cases {
-        let (first, second) = (
-            ScriptedServer::start(Behavior::ServesStream).await,
-            ScriptedServer::start(Behavior::ServesStream).await,
-        );
+        let (first, second) =
+            (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
         let (bad, _) = start_peer(reply).await;
         let (front, health) = start_with_peers([&first, &second], &[bad]).await;
         assert!(health.contains("\"level\":\"cold\""), "{case}: {health}");
@@ -179,10 +171,7 @@
 
 #[tokio::test]
 async fn unreachable_or_silent_peers_are_hedged() {
-    let (first, second) = (
-        ScriptedServer::start(Behavior::ServesStream).await,
-        ScriptedServer::start(Behavior::ServesStream).await,
-    );
+    let (first, second) = (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
     let gone = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (warm, _) = start_peer(Arc::new(|_, nonce, _| ok_response(encoded_message(nonce)))).await;
@@ -194,10 +183,7 @@
 
 #[tokio::test]
 async fn busy_peer_is_retried_after_its_delay() {
-    let (first, second) = (
-        ScriptedServer::start(Behavior::ServesStream).await,
-        ScriptedServer::start(Behavior::ServesStream).await,
-    );
+    let (first, second) = (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
     let busy: ReplyFn = Arc::new(|n, nonce, _| {
         if n > 0 {
             return ok_response(encoded_message(nonce));
@@ -215,15 +201,12 @@
 
 #[tokio::test]
 async fn fronts_exchange_knowledge_and_cold_ones_do_not_count_as_warm() {
-    let (first, second) = (
-        ScriptedServer::start(Behavior::ServesStream).await,
-        ScriptedServer::start(Behavior::ServesStream).await,
-    );
+    let (first, second) = (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
     let cold = start_ready_front(&[&first, &second], "instance: {name: front-8, seed: 3}").await;
     let (front, health) = start_with_peers([&first, &second], &[cold.front.side_address.unwrap()]).await;
     assert!(health.contains("\"level\":\"cold\"") && health.contains("cold too"), "{health}");
     assert!(health.contains("\"knows_servers\":2"), "its knowledge is merged all the same: {health}");
-    let got = send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers("x"))).await;
+    let got = send_raw(front.address, &get_request("/club/clip/t1/0", &session_headers("x"))).await;
     assert!(got.starts_with("HTTP/1.1 200"), "{got}");
     let metrics =
         send_raw(cold.front.side_address.unwrap(), "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -18,10 +18,9 @@
 
 #[tokio::test]
 async fn later_objects_follow_the_session_with_its_hints() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(&[&server], "").await;
-    let first =
-        send_raw(front.address, &get_request("/club/paid/t1/0.m4s", &new_session_headers("abc"))).await;
+    let first = send_raw(front.address, &get_request("/club/paid/t1/0.m4s", &session_headers("abc"))).await;
     assert_eq!(status(&first), "200", "{first}");
     assert!(first.ends_with("play"), "{first}");
     // The server's member comes first, the front's own member last (CTA-5006).
@@ -58,12 +57,12 @@
 
 #[tokio::test]
 async fn refused_connection_lets_a_paid_set_up_be_retried() {
-    let (gone, server) = (unreachable_address().await, ScriptedServer::start(Behavior::ServesStream).await);
+    let (gone, server) = (unreachable_address().await, TestServer::start(Script::Serves).await);
     let front = start_front(start_discovery(&[gone, server.address]).await, "").await;
     wait_ready(&front).await;
     for i in 0..6 {
         let got =
-            send_raw(front.address, &get_request("/club/paid/t1/0", &new_session_headers(&format!("s{i}"))))
+            send_raw(front.address, &get_request("/club/paid/t1/0", &session_headers(&format!("s{i}"))))
                 .await;
         assert_eq!(status(&got), "200", "retried after a refused connection: {got}");
     }
@@ -72,13 +71,13 @@
 
 #[tokio::test]
 async fn paid_set_up_is_not_retried_after_it_may_have_executed() {
-    for behavior in [Behavior::ClosesAfterReading, Behavior::ReturnsError] {
-        let (bad, other) = (ScriptedServer::start(behavior).await, ScriptedServer::start(behavior).await);
+    for script in [Script::ClosesAfterReading, Script::ReturnsError] {
+        let (bad, other) = (TestServer::start(script).await, TestServer::start(script).await);
         let front = start_ready_front(&[&bad, &other], "").await;
-        let got = send_raw(front.address, &get_request("/club/paid/t1/0", &new_session_headers("x"))).await;
+        let got = send_raw(front.address, &get_request("/club/paid/t1/0", &session_headers("x"))).await;
         assert_eq!(status(&got), "502", "{got}");
         assert!(got.contains("com.cloverhollow-reason=server-failed"), "{got}");
-        let again = send_raw(front.address, &get_request("/club/paid/t1/0", &new_session_headers("x"))).await;
+        let again = send_raw(front.address, &get_request("/club/paid/t1/0", &session_headers("x"))).await;
         assert!(status(&again) == "502" && again.contains("set-up-before"), "{again}");
         assert_eq!(bad.setups() + other.setups(), 1, "one attempt in total, at either server");
     }
@@ -86,25 +85,21 @@
 
 #[tokio::test]
 async fn paid_set_up_is_not_retried_after_close_on_accept() {
-    let (bad, other) = (
-        ScriptedServer::start(Behavior::ClosesOnAccept).await,
-        ScriptedServer::start(Behavior::ClosesOnAccept).await,
-    );
+    let (bad, other) =
+        (TestServer::start(Script::ClosesOnAccept).await, TestServer::start(Script::ClosesOnAccept).await);
     let front = start_ready_front(&[&bad, &other], "").await;
-    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &new_session_headers("x"))).await;
+    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &session_headers("x"))).await;
     assert_eq!(status(&got), "502", "{got}");
 }
 
 #[tokio::test]
 async fn unpaid_set_up_is_retried_after_any_failure() {
-    let (bad, good) = (
-        ScriptedServer::start(Behavior::ClosesAfterReading).await,
-        ScriptedServer::start(Behavior::ServesStream).await,
-    );
+    let (bad, good) =
+        (TestServer::start(Script::ClosesAfterReading).await, TestServer::start(Script::Serves).await);
     let front = start_ready_front(&[&bad, &good], "").await;
     for i in 0..4 {
         let got =
-            send_raw(front.address, &get_request("/club/clip/t1/0", &new_session_headers(&format!("c{i}"))))
+            send_raw(front.address, &get_request("/club/clip/t1/0", &session_headers(&format!("c{i}"))))
                 .await;
         assert_eq!(status(&got), "200", "{got}");
     }
@@ -113,9 +108,9 @@
 
 #[tokio::test]
 async fn set_up_refused_by_a_full_server_gets_503_with_retry_after() {
-    let full = ScriptedServer::start(Behavior::ReportsFull).await;
+    let full = TestServer::start(Script::ReportsFull).await;
     let front = start_ready_front(&[&full], "limits: {hold_off_ms: 1500}").await;
-    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &new_session_headers("x"))).await;
+    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &session_headers("x"))).await;
     assert_eq!(status(&got), "503", "{got}");
     assert!(got.contains("retry-after: 2\r\n"), "rounded up to whole seconds: {got}");
     assert!(got.contains("com.cloverhollow-reason=no-room"), "{got}");
@@ -123,18 +118,18 @@
 
 #[tokio::test]
 async fn server_failure_during_the_body_closes_the_viewers_connection() {
-    let bad = ScriptedServer::start(Behavior::ClosesInBody).await;
+    let bad = TestServer::start(Script::ClosesInBody).await;
     let front = start_ready_front(&[&bad], "").await;
-    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &new_session_headers("x"))).await;
+    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &session_headers("x"))).await;
     assert!(status(&got) == "200" && got.contains("content-length: 1000000") && got.len() < 2000, "{got}");
 }
 
 #[tokio::test]
 async fn silent_server_gets_504_within_the_viewers_deadline() {
-    let silent = ScriptedServer::start(Behavior::NeverResponds).await;
+    let silent = TestServer::start(Script::NeverResponds).await;
     let front = start_ready_front(&[&silent], "").await;
     let short_deadline =
-        format!("{}cmcd-request: dl=400\r\n", new_session_headers("x").replace("cmcd-request: su\r\n", ""));
+        format!("{}cmcd-request: dl=400\r\n", session_headers("x").replace("cmcd-request: su\r\n", ""));
     let started_at = std::time::Instant::now();
     let got = send_raw(front.address, &get_request("/club/paid/t1/0", &short_deadline)).await;
     let elapsed = started_at.elapsed();
@@ -146,10 +141,10 @@
 
 #[tokio::test]
 async fn disconnected_viewer_has_its_attempt_closed() {
-    let silent = ScriptedServer::start(Behavior::NeverResponds).await;
+    let silent = TestServer::start(Script::NeverResponds).await;
     let front = start_ready_front(&[&silent], "").await;
     let mut viewer = TcpStream::connect(front.address).await.unwrap();
-    viewer.write_all(get_request("/club/paid/t1/0", &new_session_headers("x")).as_bytes()).await.unwrap();
+    viewer.write_all(get_request("/club/paid/t1/0", &session_headers("x")).as_bytes()).await.unwrap();
     silent.wait_for(|request| request.starts_with("setup")).await;
     drop(viewer);
     silent.wait_for(|request| request == "closed by the front").await;
@@ -159,9 +154,9 @@
 
 #[tokio::test]
 async fn concurrent_requests_of_a_new_session_share_one_set_up() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(&[&server], "").await;
-    let request = get_request("/club/paid/t1/0", &new_session_headers("x"));
+    let request = get_request("/club/paid/t1/0", &session_headers("x"));
     let (a, b) = tokio::join!(send_raw(front.address, &request), send_raw(front.address, &request));
     assert_eq!((status(&a), status(&b)), ("200", "200"), "{a}\n{b}");
     assert_eq!(server.setups(), 1);
@@ -169,7 +164,7 @@
 
 #[tokio::test]
 async fn contradictory_or_invalid_hints_do_not_fail_the_session() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(&[&server], "").await;
     let headers = [
         "cmcd-session: sid=\"h1\"\r\ncmcd-object: br=9000,tb=200\r\ncmcd-request: su\r\n",
@@ -195,14 +190,14 @@
 
 #[tokio::test]
 async fn unknown_paths_and_methods_are_refused_without_a_session() {
-    let server = ScriptedServer::start(Behavior::ServesStream).await;
+    let server = TestServer::start(Script::Serves).await;
     let front = start_ready_front(&[&server], "").await;
     assert_eq!(
-        status(&send_raw(front.address, &get_request("/nothing", &new_session_headers("x"))).await),
+        status(&send_raw(front.address, &get_request("/nothing", &session_headers("x"))).await),
         "404"
     );
     assert_eq!(
-        status(&send_raw(front.address, &get_request("/club/unknown/t/0", &new_session_headers("x"))).await),
+        status(&send_raw(front.address, &get_request("/club/unknown/t/0", &session_headers("x"))).await),
         "404"
     );
     let put = "PUT /club/paid/t1/0 HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n";
@@ -213,10 +208,10 @@
 #[tokio::test]
 async fn persisted_list_is_used_while_discovery_is_unreachable() {
     let front = start_front(unreachable_address().await, "").await;
-    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &new_session_headers("x"))).await;
+    let got = send_raw(front.address, &get_request("/club/paid/t1/0", &session_headers("x"))).await;
     assert!(status(&got) == "503" && got.contains("no-servers") && got.contains("retry-after"), "{got}");
 
-    let (dir, server) = (temp_dir("last-list"), ScriptedServer::start(Behavior::ServesStream).await);
+    let (dir, server) = (temp_dir("last-list"), TestServer::start(Script::Serves).await);
     let file = dir.join("front.keep");
     let settings_with = |discovery: std::net::SocketAddr| {
         let text = format!(
@@ -237,7 +232,7 @@
     first.front.stop().await;
     assert!(std::fs::metadata(&file).unwrap().len() > 0, "the store is written at the stop");
     let second = start(settings_with(unreachable_address().await)).await;
-    let got = send_raw(second.address, &get_request("/club/paid/t1/0", &new_session_headers("y"))).await;
+    let got = send_raw(second.address, &get_request("/club/paid/t1/0", &session_headers("y"))).await;
     assert_eq!(status(&got), "200", "served by the persisted list: {got}");
     second.front.stop().await;
 
@@ -245,7 +240,7 @@
     let whole = std::fs::read(&file).unwrap();
     std::fs::write(&file, &whole[..whole.len() / 3]).unwrap();
     let third = start(settings_with(unreachable_address().await)).await;
-    let got = send_raw(third.address, &get_request("/club/paid/t1/0", &new_session_headers("z"))).await;
+    let got = send_raw(third.address, &get_request("/club/paid/t1/0", &session_headers("z"))).await;
     assert!(status(&got) == "503", "{got}");
     assert!(dir.join("front.keep.bad").exists());
 }
