--- a/crates/session/src/core/actions.rs
+++ b/crates/session/src/core/actions.rs
@@ -64,10 +64,11 @@
         let (sid, rung, payload) = (session.sid.clone(), session.rung, session.payload.clone());
         // Only what must be known after a restart is logged, so other set-ups wait for no disk.
         let has_budget = self.config.persistence.as_ref().is_some_and(|p| p.retry_budget);
-        let (paid, further) = (session.paid, number > 0 && has_budget);
-        let is_logged = self.config.persistence.is_some() && (paid || further);
-        let log_record = is_logged.then(|| Deed::Out { sid: sid.to_string(), server, paid, further });
-        let default_delay = if further { MAX_RETRY_SEND_DELAY } else { MAX_SEND_DELAY };
+        let (paid, is_budgeted_retry) = (session.paid, number > 0 && has_budget);
+        let is_logged = self.config.persistence.is_some() && (paid || is_budgeted_retry);
+        let log_record =
+            is_logged.then(|| Deed::Out { sid: sid.to_string(), server, paid, further: is_budgeted_retry });
+        let default_delay = if is_budgeted_retry { MAX_RETRY_SEND_DELAY } else { MAX_SEND_DELAY };
         let send_deadline =
             self.now + self.policy.max_send_delay(server).map_or(default_delay, |d| d.min(default_delay));
         if number > 0 {
--- a/crates/session/src/core/list_updates.rs
+++ b/crates/session/src/core/list_updates.rs
@@ -32,7 +32,7 @@
         let records = self.history.record_list_update(&update, &applied.stopped);
         self.commands.extend(records.into_iter().map(Command::Persist));
         // Rule 3: a drain may come between the decision and the first byte of a set-up. What has not been sent is
-        // cancelled, and the policy is told that it never ran and chooses again.
+        // cancelled, and the policy is notified that it never ran and chooses again.
         for server in applied.stopped {
             tracing::info!(server, "server accepts no new sessions");
             let first = AttemptId { request: 0, number: 0 };
--- a/crates/session/src/history.rs
+++ b/crates/session/src/history.rs
@@ -27,7 +27,7 @@
     stopped: BTreeSet<ServerId>,
     /// Servers that the log records as failed.
     failed: BTreeSet<ServerId>,
-    /// Recovered failed servers that the policy has not been told about yet.
+    /// Recovered failed servers that have not been reported to the policy yet.
     unreported_failures: BTreeSet<ServerId>,
     /// Sessions of the previous incarnation that servers may still hold.
     unreleased: Vec<Held>,
@@ -35,8 +35,9 @@
 
 /// Inserts a server into a set that has the bound of the log, and returns whether the server is new.
 ///
-/// Servers may stop or fail for good for months, each under an id of its own, so another server is dropped when the
-/// set is full. It may then be logged once more, and the log keeps the record of it; both err on the safe side.
+/// Over months, many servers may stop or fail for good, each under an id of its own, so another server is dropped when
+/// the set is full. The dropped server may be logged once more, and its log record is not withdrawn; both err on the
+/// safe side.
 fn insert_bounded(set: &mut BTreeSet<ServerId>, server: ServerId) -> bool {
     let is_new = set.insert(server);
     if set.len() > Bounds::default().stopped {
@@ -102,8 +103,8 @@
 
     /// Reason for which the history forbids setting a session up, if any (rule 2).
     ///
-    /// A session that may have been executed is rejected. So is a paid one for which this cannot be told, after a
-    /// start that proves nothing about the previous incarnation.
+    /// A session that may have been executed is rejected. So is a paid one whose past is unknown, after a start
+    /// that proves nothing about the previous incarnation.
     pub(crate) fn rejects(&self, now: Duration, sid: &str, paid: bool) -> Option<RejectReason> {
         if self.executed_paid.has(digest(sid)) {
             return Some(RejectReason::AlreadySetUp);
--- a/crates/session/src/session_state.rs
+++ b/crates/session/src/session_state.rs
@@ -1,4 +1,7 @@
 //! State that the core holds for one session.
+//!
+//! An attempt is one set-up request to one server. The policy chooses the server and the rung (a step of the bit-rate
+//! ladder) and decides on retries. The caller sends set-up requests to servers and answers to viewers.
 
 use crate::routes::Route;
 use crate::types::{Arrival, AttemptEnd, AttemptId, CancelReason, SessionId, ViewerId};
@@ -14,7 +17,7 @@
     /// The viewer's request, used to address its answer.
     pub(crate) viewer: ViewerId,
     /// True if the set-up is sent with this viewer's request, so that this viewer receives the server's response.
-    /// The other waiting viewers are told to follow the session's route.
+    /// The other waiting viewers then fetch from the session's server through its route.
     pub(crate) is_owner: bool,
     /// Request to submit as a new one after the current attempt has ended, and the time at which it arrived. Set if
     /// the viewer arrived after all earlier ones had disconnected; `None` if it shares the current attempt.
@@ -36,7 +39,8 @@
         address: SocketAddr,
         /// Time at which the attempt began.
         started_at: Duration,
-        /// Reason for which the core has cancelled the attempt, while the caller has not reported its end.
+        /// Reason for which the core cancelled the attempt; `None` if it has not. A cancelled attempt stays pending
+        /// until the caller reports its end.
         cancelled: Option<CancelReason>,
     },
     /// The session plays.
@@ -53,7 +57,7 @@
 pub(crate) struct Session<A> {
     /// Name given by the player (CMCD `sid`).
     pub(crate) sid: SessionId,
-    /// Title that is played.
+    /// Id of the title that is played.
     pub(crate) title: u64,
     /// Class of the session: an index into the settings' classes.
     pub(crate) class: usize,
@@ -65,7 +69,8 @@
     pub(crate) rung: usize,
     /// Number of attempts begun, which is also the number of the next one.
     pub(crate) attempts: u32,
-    /// True once all waiting viewers have disconnected and the policy was told. The pending attempt is the last one.
+    /// True once all waiting viewers have disconnected and the policy was notified. The pending attempt is the last
+    /// one.
     pub(crate) abandoned: bool,
     /// End of the last attempt that a server may have executed; `None` if there was none.
     pub(crate) possibly_executed_end: Option<AttemptEnd>,
--- a/crates/session/src/types/commands.rs
+++ b/crates/session/src/types/commands.rs
@@ -146,7 +146,7 @@
 /// State of a peer, taken from a merged message of that peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerStatus {
-    /// How much of the fleet's knowledge the peer has gathered since its start.
+    /// Degree to which the peer has gathered the fleet's knowledge since its start.
     pub level: Level,
     /// Sequence number of the peer's last change. The next delta is requested from here.
     pub seq: u64,
--- a/crates/session/src/types/mod.rs
+++ b/crates/session/src/types/mod.rs
@@ -112,7 +112,7 @@
 pub struct RetainedCounts {
     /// Servers on the list, those that are gone included.
     pub servers: usize,
-    /// Report throttles, one for each server with a session since its listing.
+    /// Report throttles, one for each listed server that has had a session.
     pub report_throttles: usize,
     /// Sessions being set up or playing.
     pub sessions: usize,
--- a/crates/session/tests/common/mod.rs
+++ b/crates/session/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A shell without sockets: inputs made by hand, commands looked at.
-#![allow(dead_code)] // each test file uses a part
+//! Helpers that build inputs of the core and inspect its commands, without sockets.
+#![allow(dead_code)] // Each test file uses a part.
 
 use cloverhollow::{Brain, ListMode};
 use cloverhollow_hints::cmcd::Record;
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub const DAY: Duration = Duration::from_secs(86_400);
+/// Time at which the tests begin, on the core's clock.
+pub const START: Duration = Duration::from_secs(86_400);
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -51,12 +52,12 @@
     }
 }
 
-pub fn list<A, B>(mode: ListMode, servers: Vec<ServerEntry>) -> Input<A, B> {
+pub fn list_update<A, B>(mode: ListMode, servers: Vec<ServerEntry>) -> Input<A, B> {
     Input::ListUpdate(ListUpdate { mode, version: 1, entries: servers })
 }
 
-pub fn serving(n: u64) -> Input<u32, &'static str> {
-    list(ListMode::Whole, (1..=n).map(|id| server(id, WireState::Serving)).collect())
+pub fn serving_list(n: u64) -> Input<u32, &'static str> {
+    list_update(ListMode::Whole, (1..=n).map(|id| server(id, WireState::Serving)).collect())
 }
 
 pub fn arrival(s: &FrontSettings, viewer: u64, path: &str, cmcd: &str) -> Arrival<u32> {
@@ -67,58 +68,60 @@
     arrival::read(s, ViewerId(viewer), path, &hints, viewer as u32).unwrap()
 }
 
-pub fn call(viewer: u64, sid: &str, class: &str) -> Input<u32, &'static str> {
+pub fn arrived(viewer: u64, sid: &str, class: &str) -> Input<u32, &'static str> {
     let s = settings(SETTINGS);
     Input::Arrived(arrival(&s, viewer, &format!("/club/{class}/t1/0"), &format!("sid=\"{sid}\",su")))
 }
 
-/// What is taken down for later lives.
-pub fn kept(commands: &[Command<u32, &'static str>]) -> Vec<Deed> {
-    let deed = |c: &Command<u32, &'static str>| match c {
-        Command::Persist(deed) => Some(deed.clone()),
+/// Log records among the commands.
+pub fn persisted_records(commands: &[Command<u32, &'static str>]) -> Vec<Deed> {
+    let record = |c: &Command<u32, &'static str>| match c {
+        Command::Persist(record) => Some(record.clone()),
         _ => None,
     };
-    commands.iter().filter_map(deed).collect()
+    commands.iter().filter_map(record).collect()
 }
 
-/// Commands as words, for comparing; without what is taken down.
-pub fn words(commands: &[Command<u32, &'static str>]) -> Vec<String> {
-    let done = (commands.iter()).filter(|c| {
+/// One-line summaries of commands for comparison. Log records, ends of sessions and rung changes are left out.
+pub fn summaries(commands: &[Command<u32, &'static str>]) -> Vec<String> {
+    let included = (commands.iter()).filter(|c| {
         !matches!(c, Command::Persist(_) | Command::SessionEnded { .. } | Command::RungChanged { .. })
     });
-    done.map(|c| match c {
-        Command::Send(s) => format!("send {} {}", s.sid, s.attempt),
-        Command::Cancel { attempt, reason: why } => format!("cancel {attempt} {why:?}"),
-        Command::Persist(_) | Command::SessionEnded { .. } | Command::RungChanged { .. } => {
-            unreachable!("left out")
-        }
-        Command::Release { sid, .. } => format!("release {sid}"),
-        Command::KnowledgeMerged { outcome, .. } => format!("merged {}", outcome.is_ok()),
-        Command::Answer { viewer, answer } => {
-            let v = viewer.0;
-            match answer {
-                Answer::Stream { response: answer, .. } => format!("{v} stream {answer}"),
-                Answer::Follow(_) => format!("{v} follow"),
-                Answer::Refused { reason, .. } => format!("{v} refused {}", reason.token()),
-                Answer::Failed { reason, .. } => format!("{v} failed {}", reason.token()),
+    included
+        .map(|c| match c {
+            Command::Send(s) => format!("send {} {}", s.sid, s.attempt),
+            Command::Cancel { attempt, reason } => format!("cancel {attempt} {reason:?}"),
+            Command::Persist(_) | Command::SessionEnded { .. } | Command::RungChanged { .. } => {
+                unreachable!("left out")
             }
-        }
-    })
-    .collect()
+            Command::Release { sid, .. } => format!("release {sid}"),
+            Command::KnowledgeMerged { outcome, .. } => format!("merged {}", outcome.is_ok()),
+            Command::Answer { viewer, answer } => {
+                let viewer = viewer.0;
+                match answer {
+                    Answer::Stream { response, .. } => format!("{viewer} stream {response}"),
+                    Answer::Follow(_) => format!("{viewer} follow"),
+                    Answer::Refused { reason, .. } => format!("{viewer} refused {}", reason.token()),
+                    Answer::Failed { reason, .. } => format!("{viewer} failed {}", reason.token()),
+                }
+            }
+        })
+        .collect()
 }
 
-pub fn sent(commands: &[Command<u32, &'static str>]) -> Setup<u32> {
-    let one = commands.iter().find_map(|c| match c {
+/// The first set-up among the commands.
+pub fn sent_setup(commands: &[Command<u32, &'static str>]) -> Setup<u32> {
+    let setup = commands.iter().find_map(|c| match c {
         Command::Send(s) => Some(s.clone()),
         _ => None,
     });
-    one.unwrap_or_else(|| panic!("nothing sent: {:?}", words(commands)))
+    setup.unwrap_or_else(|| panic!("no set-up sent: {:?}", summaries(commands)))
 }
 
 pub fn playing(attempt: AttemptId) -> Input<u32, &'static str> {
     Input::Playing { attempt, load: Load::default(), response: "body" }
 }
 
-pub fn ended(attempt: AttemptId, end: AttemptEnd) -> Input<u32, &'static str> {
+pub fn attempt_ended(attempt: AttemptId, end: AttemptEnd) -> Input<u32, &'static str> {
     Input::AttemptEnded { attempt, end, load: Load::default() }
 }
--- a/crates/session/tests/load/wild.rs
+++ b/crates/session/tests/load/random_policy.rs
@@ -1,6 +1,5 @@
-//! Whoever decides without sense: it asks for anything of anybody at any time, and keeps only what the core can't know
-//! of: no attempt past the allowed ones, none of a paid session that may have run, none at a server that drains, an
-//! answer when time is up.
+//! A policy that takes random actions. It observes only what the core cannot check: no attempt past the allowed number,
+//! none for a session that may have been executed, none at a server that drains, and an answer at the deadline.
 
 use cloverhollow::{Action, Event, ListMode, Listed, RequestId, ServerId};
 use cloverhollow_session::Policy;
@@ -9,45 +8,49 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-pub struct Wild {
+pub struct RandomPolicy {
     rng: ChaCha8Rng,
-    /// Each request's time, whether it may have run, and attempts.
-    calls: BTreeMap<RequestId, (Duration, bool, u32)>,
+    /// Requests with their deadline, whether they may have been executed, and their number of attempts.
+    requests: BTreeMap<RequestId, (Duration, bool, u32)>,
     serving: BTreeSet<ServerId>,
 }
 
-impl Wild {
-    pub fn new(seed: u64) -> Wild {
-        Wild { rng: ChaCha8Rng::seed_from_u64(seed), calls: BTreeMap::new(), serving: BTreeSet::new() }
+impl RandomPolicy {
+    pub fn new(seed: u64) -> RandomPolicy {
+        RandomPolicy {
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            requests: BTreeMap::new(),
+            serving: BTreeSet::new(),
+        }
     }
 
-    fn anything(&mut self, now: Duration) -> Option<Action> {
-        let n = self.rng.random_range(0..self.calls.len().max(1));
-        let request = *self.calls.keys().nth(n)?;
-        let call = self.calls.get_mut(&request)?;
-        let hold_off = Duration::from_millis(500);
+    fn random_action(&mut self, now: Duration) -> Option<Action> {
+        let n = self.rng.random_range(0..self.requests.len().max(1));
+        let request = *self.requests.keys().nth(n)?;
+        let state = self.requests.get_mut(&request)?;
+        let retry_after = Duration::from_millis(500);
         Some(match self.rng.random_range(0..10) {
             0 => Action::Rung(request, self.rng.random_range(0..9)),
-            1 => Action::Refuse(request, hold_off),
+            1 => Action::Refuse(request, retry_after),
             2 => Action::Fail(request),
-            3 => Action::Refuse(request + 1_000, hold_off),
+            3 => Action::Refuse(request + 1_000, retry_after),
             4 => Action::Timer(Duration::from_millis(self.rng.random_range(0..50)), 7),
             kind => {
-                let left = call.0.saturating_sub(now).as_millis() as u64;
-                if left == 0 || call.1 || call.2 >= 12 {
+                let left_ms = state.0.saturating_sub(now).as_millis() as u64;
+                if left_ms == 0 || state.1 || state.2 >= 12 {
                     return None;
                 }
-                call.2 += 1;
+                state.2 += 1;
                 let n = self.rng.random_range(0..self.serving.len().max(1));
                 let unknown = kind == 5 || self.serving.is_empty();
                 let server = if unknown { 99 } else { *self.serving.iter().nth(n)? };
-                Action::Send(request, server, Duration::from_millis(self.rng.random_range(1..=left)))
+                Action::Send(request, server, Duration::from_millis(self.rng.random_range(1..=left_ms)))
             }
         })
     }
 }
 
-impl Policy for Wild {
+impl Policy for RandomPolicy {
     fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
         let mut out = Vec::new();
         for event in events {
@@ -65,24 +68,26 @@
                     }
                 }
                 Event::Call(call) => {
-                    self.calls.insert(call.request, (call.deadline, false, 0));
+                    self.requests.insert(call.request, (call.deadline, false, 0));
                     out.push(Action::Timer(call.deadline.saturating_sub(now), call.request));
                 }
-                Event::Adopted(call, _) => _ = self.calls.insert(call.request, (call.deadline, true, 1)),
+                Event::Adopted(call, _) => _ = self.requests.insert(call.request, (call.deadline, true, 1)),
                 Event::Ended(request, _, _, outcome, _, _) => {
-                    if let Some(call) = self.calls.get_mut(request) {
-                        call.1 |= !outcome.never_ran();
+                    if let Some(state) = self.requests.get_mut(request) {
+                        state.1 |= !outcome.never_ran();
                     }
                 }
                 _ => {}
             }
         }
         for _ in 0..self.rng.random_range(0..4) {
-            out.extend(self.anything(now));
+            out.extend(self.random_action(now));
         }
-        // Whoever is late gets its answer, again and again until it is out no more.
-        self.calls.retain(|_, c| now < c.0 + Duration::from_secs(30));
-        out.extend(self.calls.iter().filter(|(_, c)| c.0 <= now).map(|(r, _)| Action::Fail(*r)));
+        // A request past its deadline is answered again and again, until no attempt is pending for it.
+        self.requests.retain(|_, r| now < r.0 + Duration::from_secs(30));
+        out.extend(
+            self.requests.iter().filter(|(_, r)| r.0 <= now).map(|(request, _)| Action::Fail(*request)),
+        );
         out
     }
 }
--- a/crates/session/tests/platform.rs
+++ b/crates/session/tests/platform.rs
@@ -1,4 +1,4 @@
-//! What a platform asks of the core: sessions handed over, notes, ends and rungs told, memory that stays flat.
+//! Use of the core by a platform: adopted sessions, session reports, ends of sessions, and bounded memory.
 
 mod common;
 
@@ -6,119 +6,122 @@
 use cloverhollow_session::*;
 use common::*;
 
-/// A core that keeps nothing but its sessions, as on a platform.
-fn plain() -> TestCore {
+/// A core without persistence and idle timeout, as on a platform.
+fn platform_core() -> TestCore {
     let s = settings(SETTINGS);
-    let terms = CoreConfig { idle_timeout: None, persistence: None, ..CoreConfig::from(&*s) };
-    Core::new(Brain::new(s.decisions(), 7), terms, 1)
+    let config = CoreConfig { idle_timeout: None, persistence: None, ..CoreConfig::from(&*s) };
+    Core::new(Brain::new(s.decisions(), 7), config, 1)
 }
 
-fn handed_over(sid: &str, server: u64) -> Input<u32, &'static str> {
+fn adopted(sid: &str, server: u64) -> Input<u32, &'static str> {
     let s = settings(SETTINGS);
     let arrival = arrival(&s, 1, "/club/clip/t1/0", &format!("sid=\"{sid}\",su"));
     Input::Adopted { arrival, server }
 }
 
-fn over(sid: &str) -> Input<u32, &'static str> {
+fn session_ended(sid: &str) -> Input<u32, &'static str> {
     Input::SessionEnded { sid: sid.into(), reason: EndReason::Ended, load: Load::default() }
 }
 
-fn ends(commands: &[Command<u32, &'static str>]) -> Vec<(SessionId, u64, EndReason)> {
+fn ended_sessions(commands: &[Command<u32, &'static str>]) -> Vec<(SessionId, u64, EndReason)> {
     let end = |c: &Command<u32, &'static str>| match c {
-        Command::SessionEnded { sid, server, reason: why } => Some((sid.clone(), *server, *why)),
+        Command::SessionEnded { sid, server, reason } => Some((sid.clone(), *server, *reason)),
         _ => None,
     };
     commands.iter().filter_map(end).collect()
 }
 
 #[test]
-fn a_session_that_is_handed_over_plays_once_and_its_end_is_told() {
-    let mut core = plain();
-    core.step(DAY, [serving(2)]);
+fn an_adopted_session_plays_once_and_its_end_is_reported() {
+    let mut core = platform_core();
+    core.step(START, [serving_list(2)]);
     assert!(
-        core.step(DAY + ms(10), [handed_over("s", 1), handed_over("s", 2)]).is_empty(),
-        "no answer is owed"
+        core.step(START + ms(10), [adopted("s", 1), adopted("s", 2)]).is_empty(),
+        "no viewer waits for an answer"
     );
-    assert_eq!(core.session_count(), 1, "twice is harmless");
-    core.step(DAY + ms(20), [Input::SessionReport { sid: "s".into(), report: Note::Rung(0) }]);
-    let out = core.step(DAY + ms(30), [over("s")]);
-    assert_eq!(ends(&out), [("s".into(), 1, EndReason::Ended)]);
+    assert_eq!(core.session_count(), 1, "a second adoption changes nothing");
+    core.step(START + ms(20), [Input::SessionReport { sid: "s".into(), report: Note::Rung(0) }]);
+    let out = core.step(START + ms(30), [session_ended("s")]);
+    assert_eq!(ended_sessions(&out), [("s".into(), 1, EndReason::Ended)]);
     assert_eq!(core.session_count(), 0);
-    assert!(core.step(DAY + ms(40), [handed_over("t", 9)]).is_empty());
-    assert_eq!(core.session_count(), 0, "at a server that is not listed there is none");
+    assert!(core.step(START + ms(40), [adopted("t", 9)]).is_empty());
+    assert_eq!(core.session_count(), 0, "a session at an unlisted server is not adopted");
 }
 
 #[test]
-fn notes_reach_the_module_for_sessions_that_play_and_no_others() {
-    let mut core = plain();
-    let told = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
-    let tap = told.clone();
+fn session_reports_reach_the_policy_only_for_playing_sessions() {
+    let mut core = platform_core();
+    let reported = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
+    let observed = reported.clone();
     core.set_step_observer(Box::new(move |_, events, _| {
-        let notes = events.iter().filter(|e| matches!(e, cloverhollow::Event::Note(..)));
-        tap.lock().unwrap().extend(notes.map(|n| format!("{n:?}")));
+        let reports = events.iter().filter(|e| matches!(e, cloverhollow::Event::Note(..)));
+        observed.lock().unwrap().extend(reports.map(|r| format!("{r:?}")));
     }));
-    core.step(DAY, [serving(1)]);
-    let out = core.step(DAY + ms(10), [call(1, "s", "clip")]);
-    let note = |note| Input::SessionReport { sid: "s".into(), report: note };
-    core.step(DAY + ms(20), [note(Note::Link(0.5))]);
-    core.step(DAY + ms(30), [playing(sent(&out).attempt)]);
-    core.step(DAY + ms(40), [note(Note::Share(0.5)), note(Note::Rack(1.5))]);
-    assert_eq!(*told.lock().unwrap(), ["Note(1, 1, Share(0.5))", "Note(1, 1, Rack(1.5))"]);
+    core.step(START, [serving_list(1)]);
+    let out = core.step(START + ms(10), [arrived(1, "s", "clip")]);
+    let report = |report| Input::SessionReport { sid: "s".into(), report };
+    core.step(START + ms(20), [report(Note::Link(0.5))]);
+    core.step(START + ms(30), [playing(sent_setup(&out).attempt)]);
+    core.step(START + ms(40), [report(Note::Share(0.5)), report(Note::Rack(1.5))]);
+    assert_eq!(*reported.lock().unwrap(), ["Note(1, 1, Share(0.5))", "Note(1, 1, Rack(1.5))"]);
 }
 
-/// Guards an answer that comes after its server has left the list: it was dropped without a word to its client.
+/// An answer that came after its server had left the list was dropped, and its client got none.
 #[test]
-fn an_answer_counts_though_its_server_has_left_the_list() {
-    let mut core = plain();
-    core.step(DAY, [serving(1)]);
-    let out = core.step(DAY + ms(10), [call(1, "s", "clip")]);
-    core.step(DAY + ms(20), [list(ListMode::Whole, vec![])]);
-    let out = core.step(DAY + ms(30), [playing(sent(&out).attempt)]);
-    assert_eq!(words(&out), ["1 stream body"]);
-    core.step(DAY + ms(40), [list(ListMode::Patch, vec![server(2, WireState::Serving)])]);
-    assert_eq!(ends(&core.step(DAY + ms(50), [over("s")])), [("s".into(), 1, EndReason::Ended)]);
+fn an_answer_counts_after_its_server_has_left_the_list() {
+    let mut core = platform_core();
+    core.step(START, [serving_list(1)]);
+    let out = core.step(START + ms(10), [arrived(1, "s", "clip")]);
+    core.step(START + ms(20), [list_update(ListMode::Whole, vec![])]);
+    let out = core.step(START + ms(30), [playing(sent_setup(&out).attempt)]);
+    assert_eq!(summaries(&out), ["1 stream body"]);
+    core.step(START + ms(40), [list_update(ListMode::Patch, vec![server(2, WireState::Serving)])]);
+    assert_eq!(
+        ended_sessions(&core.step(START + ms(50), [session_ended("s")])),
+        [("s".into(), 1, EndReason::Ended)]
+    );
 }
 
-/// A long day: each server has an id of its own, and so has each session.
+/// Each of many servers and sessions has an id of its own; state of those that are gone must not accumulate.
 #[test]
-fn what_is_gone_for_good_is_let_go() {
-    let mut core = plain();
+fn state_of_gone_servers_and_ended_sessions_is_dropped() {
+    let mut core = platform_core();
     for n in 1..2_000u64 {
-        let now = DAY + ms(n * 1_000);
-        let news = [server(n, WireState::Serving), server(n.saturating_sub(3), WireState::Gone)];
-        core.step(now, [list(ListMode::Patch, news.to_vec())]);
-        let out = core.step(now + ms(10), [call(n, &format!("s{n}"), "clip")]);
-        core.step(now + ms(20), [playing(sent(&out).attempt)]);
-        core.step(now + ms(30), [over(&format!("s{n}"))]);
+        let now = START + ms(n * 1_000);
+        let entries = [server(n, WireState::Serving), server(n.saturating_sub(3), WireState::Gone)];
+        core.step(now, [list_update(ListMode::Patch, entries.to_vec())]);
+        let out = core.step(now + ms(10), [arrived(n, &format!("s{n}"), "clip")]);
+        core.step(now + ms(20), [playing(sent_setup(&out).attempt)]);
+        core.step(now + ms(30), [session_ended(&format!("s{n}"))]);
     }
-    let kept = core.retained_counts();
-    assert!(kept.servers <= 5 && kept.report_throttles <= 5 && kept.sessions == 0, "{kept:?}");
-    assert!(kept.timers <= 20, "{kept:?}");
+    let counts = core.retained_counts();
+    assert!(counts.servers <= 5 && counts.report_throttles <= 5 && counts.sessions == 0, "{counts:?}");
+    assert!(counts.timers <= 20, "{counts:?}");
 }
 
 #[test]
-fn a_core_that_keeps_nothing_takes_nothing_down() {
-    let mut core = plain();
-    core.step(DAY, [serving(2)]);
-    let out = core.step(DAY + ms(10), [call(1, "s", "paid")]);
-    assert!(sent(&out).log_record.is_none());
-    let out = core.step(DAY + ms(20), [ended(sent(&out).attempt, AttemptEnd::Reset)]);
+fn a_core_without_persistence_logs_nothing() {
+    let mut core = platform_core();
+    core.step(START, [serving_list(2)]);
+    let out = core.step(START + ms(10), [arrived(1, "s", "paid")]);
+    assert!(sent_setup(&out).log_record.is_none());
+    let out = core.step(START + ms(20), [attempt_ended(sent_setup(&out).attempt, AttemptEnd::Reset)]);
     assert_eq!(
-        (kept(&out), words(&out).last().map(String::as_str)),
+        (persisted_records(&out), summaries(&out).last().map(String::as_str)),
         (vec![], Some("1 failed server-failed"))
     );
 }
 
-/// A set-up that is decided in a turn at a cold server and goes out later comes on top of those whose turn it is then.
+/// A set-up decided for a time slot of a cold server and sent later would come on top of those of a later slot.
 #[test]
-fn a_set_up_to_a_cold_server_goes_out_soon_or_never() {
-    let until = |ago: Option<u64>| {
-        let mut core = plain();
-        let entry = ServerEntry { started_ms_ago: ago, ..server(1, WireState::Serving) };
-        let out = core.step(DAY, [list(ListMode::Whole, vec![entry]), call(1, "s", "clip")]);
-        sent(&out).send_deadline
+fn a_set_up_to_a_cold_server_has_a_short_send_deadline() {
+    let send_deadline = |age_ms: Option<u64>| {
+        let mut core = platform_core();
+        let entry = ServerEntry { started_ms_ago: age_ms, ..server(1, WireState::Serving) };
+        let out = core.step(START, [list_update(ListMode::Whole, vec![entry]), arrived(1, "s", "clip")]);
+        sent_setup(&out).send_deadline
     };
-    assert_eq!(until(None), DAY + ms(1_000));
-    assert_eq!(until(Some(20_000)), DAY + ms(1_000), "it is warm by now");
-    assert_eq!(until(Some(100)), DAY + ms(200));
+    assert_eq!(send_deadline(None), START + ms(1_000));
+    assert_eq!(send_deadline(Some(20_000)), START + ms(1_000), "the server is warm by now");
+    assert_eq!(send_deadline(Some(100)), START + ms(200));
 }
