--- a/crates/node/src/desk/tests.rs
+++ b/crates/node/src/desk/tests.rs
@@ -54,14 +54,14 @@
             rates_kbps: vec![Arc::from([])],
             server_kinds: site.names.kinds.clone(),
             zone: site.names.zone.clone(),
-            retry_after: site.settings.limits.hold_off,
+            retry_after: site.settings.limits.max_retry_after,
             answer_margin: Duration::ZERO,
             max_sessions: 1_000,
             max_waiting: 1,
             idle_timeout: None,
             persistence: None,
         };
-        let core = Core::new(Brain::new(site.settings.clone(), 1), terms, 1);
+        let core = Core::new(SessionPolicy::new(site.settings.clone(), 1), terms, 1);
         let watch = LinkMonitor::new(Duration::ZERO, site.idle_close, 8);
         let (mail, mails) = mpsc::channel(crate::mail::MOST_MAILS);
         let (rings, rung) = mpsc::channel(64);
--- a/crates/session/src/policy.rs
+++ b/crates/session/src/policy.rs
@@ -1,9 +1,9 @@
 //! Interface between the core and the module that makes decisions.
 
-use cloverhollow::{Action, Brain, Event, ServerId};
+use cloverhollow::{Action, Event, ServerId, SessionPolicy};
 use std::time::Duration;
 
-/// Chooses servers, rungs and retries for sessions. [`Brain`] in production; the laboratory substitutes baselines.
+/// Chooses servers, rungs and retries for sessions. [`SessionPolicy`] in production; the laboratory substitutes baselines.
 pub trait Policy: Send {
     /// Processes all events of one instant and returns the actions to take, in order.
     fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Action>;
@@ -15,13 +15,13 @@
     }
 }
 
-impl Policy for Brain {
+impl Policy for SessionPolicy {
     fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
-        Brain::step(self, now, events)
+        SessionPolicy::step(self, now, events)
     }
 
     fn max_send_delay(&self, server: ServerId) -> Option<Duration> {
-        Brain::send_within(self, server)
+        SessionPolicy::max_send_delay(self, server)
     }
 }
 
--- a/crates/session/src/types/inputs.rs
+++ b/crates/session/src/types/inputs.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptId, Load, SessionId, ViewerId};
 use crate::list::ListUpdate;
-use cloverhollow::{Call, Note, RequestId, ServerId, TitleId};
+use cloverhollow::{RequestId, ServerId, SessionReport, SessionRequest, TitleId};
 use cloverhollow_hints::{Contradictions, Faults};
 use cloverhollow_knowledge::wire::Message;
 use cloverhollow_recovery::Recovered;
@@ -44,17 +44,17 @@
 
 impl<A> Arrival<A> {
     /// Converts this request to the policy's form.
-    pub(crate) fn call(&self, request: RequestId, deadline: Duration) -> Call {
-        Call {
-            request,
+    pub(crate) fn call(&self, request: RequestId, deadline: Duration) -> SessionRequest {
+        SessionRequest {
+            id: request,
             title: self.title,
             class: self.class,
             tenant: self.tenant,
-            top: self.max_rung,
+            max_rung: self.max_rung,
             first_cell: self.first_cell,
-            cells: self.cell_count,
+            cell_count: self.cell_count,
             deadline,
-            again: self.repeated,
+            is_repeat: self.repeated,
         }
     }
 }
@@ -163,7 +163,7 @@
         /// Session that the report is about.
         sid: SessionId,
         /// Content of the report.
-        report: Note,
+        report: SessionReport,
     },
     /// The server list was updated.
     ListUpdate(ListUpdate),
@@ -181,7 +181,7 @@
     /// Offset by which the clock shared by all fronts is ahead of this front's clock. Comes before any other input.
     ClockOffset(Duration),
     /// Another front observed a server and reported it at once.
-    PeerReport(cloverhollow::Heard),
+    PeerReport(cloverhollow::PeerReport),
     /// The bound on the number of fronts has changed. Where fronts are not counted by leases this never comes,
     /// and the number in the settings applies.
     FleetSize {
--- a/crates/session/tests/common/mod.rs
+++ b/crates/session/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Helpers that build inputs of the core and inspect its commands, without sockets.
 #![allow(dead_code)] // Each test file uses a part.
 
-use cloverhollow::{Brain, ListMode};
+use cloverhollow::{ListMode, SessionPolicy};
 use cloverhollow_hints::cmcd::Record;
 use cloverhollow_hints::{reconcile, Faults};
 use cloverhollow_recovery::Deed;
@@ -26,7 +26,7 @@
 sessions: {idle_ms: 5000, margin_ms: 50, most: 50, waiting: 3}
 ";
 
-pub type TestCore = Core<Brain, u32, &'static str>;
+pub type TestCore = Core<SessionPolicy, u32, &'static str>;
 
 pub fn settings(text: &str) -> Arc<FrontSettings> {
     Arc::new(FrontSettings::parse("test.yaml", text).unwrap())
@@ -34,7 +34,7 @@
 
 pub fn core() -> TestCore {
     let s = settings(SETTINGS);
-    Core::new(Brain::new(s.decisions(), 7), s, 1)
+    Core::new(SessionPolicy::new(s.decisions(), 7), s, 1)
 }
 
 pub fn server(id: u64, state: WireState) -> ServerEntry {
@@ -57,7 +57,7 @@
 }
 
 pub fn serving_list(n: u64) -> Input<u32, &'static str> {
-    list_update(ListMode::Whole, (1..=n).map(|id| server(id, WireState::Serving)).collect())
+    list_update(ListMode::Full, (1..=n).map(|id| server(id, WireState::Serving)).collect())
 }
 
 pub fn arrival(s: &FrontSettings, viewer: u64, path: &str, cmcd: &str) -> Arrival<u32> {
--- a/crates/session/tests/load/harness.rs
+++ b/crates/session/tests/load/harness.rs
@@ -3,7 +3,7 @@
 use super::random_policy::RandomPolicy;
 use super::{Model, Transition, DRAINED};
 use crate::common::*;
-use cloverhollow::{Brain, ListMode, Note};
+use cloverhollow::{ListMode, SessionPolicy, SessionReport};
 use cloverhollow_knowledge::Level;
 use cloverhollow_recovery::{frame, recover, Boot, Bounds, Deed, Found, Recovered, Stamp};
 use cloverhollow_session::*;
@@ -73,7 +73,7 @@
     pub fn new(model: &Model) -> Harness {
         let settings = settings(&SETTINGS.replace("most: 50", &format!("most: {MAX_SESSIONS}")));
         let policy: Box<dyn Policy> = if model.real_policy {
-            Box::new(Brain::new(settings.decisions(), 7))
+            Box::new(SessionPolicy::new(settings.decisions(), 7))
         } else {
             Box::new(RandomPolicy::new(7))
         };
@@ -174,8 +174,10 @@
                 self.queued.extend(input);
             }
             Transition::ReportRung(n, rung) => {
-                let rung_report =
-                    |r: Arc<Route>| Input::SessionReport { sid: r.sid.clone(), report: Note::Rung(rung) };
+                let rung_report = |r: Arc<Route>| Input::SessionReport {
+                    sid: r.sid.clone(),
+                    report: SessionReport::Rung(rung),
+                };
                 let input = self.route(n).map(rung_report);
                 self.queued.extend(input);
             }
@@ -202,7 +204,7 @@
                 let entries = vec![server(id, state)];
                 self.peer.step(
                     self.now,
-                    [Input::ListUpdate(ListUpdate { mode: ListMode::Whole, version, entries })],
+                    [Input::ListUpdate(ListUpdate { mode: ListMode::Full, version, entries })],
                 );
                 let message = self.peer.knowledge_snapshot().latest().message(
                     self.now,
--- a/crates/session/tests/load/random_policy.rs
+++ b/crates/session/tests/load/random_policy.rs
@@ -1,7 +1,7 @@
 //! A policy that takes random actions. It observes only what the core cannot check: no attempt past the allowed number,
 //! none for a session that may have been executed, none at a server that drains, and an answer at the deadline.
 
-use cloverhollow::{Action, Event, ListMode, Listed, RequestId, ServerId};
+use cloverhollow::{Action, Event, ListMode, RequestId, ServerId, ServerState};
 use cloverhollow_session::Policy;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,11 +30,11 @@
         let state = self.requests.get_mut(&request)?;
         let retry_after = Duration::from_millis(500);
         Some(match self.rng.random_range(0..10) {
-            0 => Action::Rung(request, self.rng.random_range(0..9)),
+            0 => Action::SetRung(request, self.rng.random_range(0..9)),
             1 => Action::Refuse(request, retry_after),
             2 => Action::Fail(request),
             3 => Action::Refuse(request + 1_000, retry_after),
-            4 => Action::Timer(Duration::from_millis(self.rng.random_range(0..50)), 7),
+            4 => Action::SetTimer(Duration::from_millis(self.rng.random_range(0..50)), 7),
             kind => {
                 let left_ms = state.0.saturating_sub(now).as_millis() as u64;
                 if left_ms == 0 || state.1 || state.2 >= 12 {
@@ -55,26 +55,26 @@
         let mut out = Vec::new();
         for event in events {
             match event {
-                Event::List(ListMode::Broken, _) => {}
-                Event::List(mode, entries) => {
+                Event::ListUpdate(ListMode::Failed, _) => {}
+                Event::ListUpdate(mode, entries) => {
                     if *mode != ListMode::Patch {
                         self.serving.clear();
                     }
                     for e in entries {
                         match e.state {
-                            Listed::Serving => _ = self.serving.insert(e.server),
+                            ServerState::Serving => _ = self.serving.insert(e.server),
                             _ => _ = self.serving.remove(&e.server),
                         }
                     }
                 }
-                Event::Call(call) => {
-                    self.requests.insert(call.request, (call.deadline, false, 0));
-                    out.push(Action::Timer(call.deadline.saturating_sub(now), call.request));
+                Event::Request(call) => {
+                    self.requests.insert(call.id, (call.deadline, false, 0));
+                    out.push(Action::SetTimer(call.deadline.saturating_sub(now), call.id));
                 }
-                Event::Adopted(call, _) => _ = self.requests.insert(call.request, (call.deadline, true, 1)),
-                Event::Ended(request, _, _, outcome, _, _) => {
+                Event::Adopted(call, _) => _ = self.requests.insert(call.id, (call.deadline, true, 1)),
+                Event::AttemptEnded(request, _, _, outcome, _, _) => {
                     if let Some(state) = self.requests.get_mut(request) {
-                        state.1 |= !outcome.never_ran();
+                        state.1 |= !outcome.never_executed();
                     }
                 }
                 _ => {}
--- a/crates/session/tests/platform.rs
+++ b/crates/session/tests/platform.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cloverhollow::{Brain, ListMode, Note};
+use cloverhollow::{ListMode, SessionPolicy, SessionReport};
 use cloverhollow_session::*;
 use common::*;
 
@@ -10,7 +10,7 @@
 fn platform_core() -> TestCore {
     let s = settings(SETTINGS);
     let config = CoreConfig { idle_timeout: None, persistence: None, ..CoreConfig::from(&*s) };
-    Core::new(Brain::new(s.decisions(), 7), config, 1)
+    Core::new(SessionPolicy::new(s.decisions(), 7), config, 1)
 }
 
 fn adopted(sid: &str, server: u64) -> Input<u32, &'static str> {
@@ -40,7 +40,7 @@
         "no viewer waits for an answer"
     );
     assert_eq!(core.session_count(), 1, "a second adoption changes nothing");
-    core.step(START + ms(20), [Input::SessionReport { sid: "s".into(), report: Note::Rung(0) }]);
+    core.step(START + ms(20), [Input::SessionReport { sid: "s".into(), report: SessionReport::Rung(0) }]);
     let out = core.step(START + ms(30), [session_ended("s")]);
     assert_eq!(ended_sessions(&out), [("s".into(), 1, EndReason::Ended)]);
     assert_eq!(core.session_count(), 0);
@@ -54,15 +54,18 @@
     let reported = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let observed = reported.clone();
     core.set_step_observer(Box::new(move |_, events, _| {
-        let reports = events.iter().filter(|e| matches!(e, cloverhollow::Event::Note(..)));
+        let reports = events.iter().filter(|e| matches!(e, cloverhollow::Event::SessionReport(..)));
         observed.lock().unwrap().extend(reports.map(|r| format!("{r:?}")));
     }));
     core.step(START, [serving_list(1)]);
     let out = core.step(START + ms(10), [arrived(1, "s", "clip")]);
     let report = |report| Input::SessionReport { sid: "s".into(), report };
-    core.step(START + ms(20), [report(Note::Link(0.5))]);
+    core.step(START + ms(20), [report(SessionReport::LinkLoad(0.5))]);
     core.step(START + ms(30), [playing(sent_setup(&out).attempt)]);
-    core.step(START + ms(40), [report(Note::Share(0.5)), report(Note::Rack(1.5))]);
+    core.step(
+        START + ms(40),
+        [report(SessionReport::DeliveredShare(0.5)), report(SessionReport::UplinkLoad(1.5))],
+    );
     assert_eq!(*reported.lock().unwrap(), ["Note(1, 1, Share(0.5))", "Note(1, 1, Rack(1.5))"]);
 }
 
@@ -72,7 +75,7 @@
     let mut core = platform_core();
     core.step(START, [serving_list(1)]);
     let out = core.step(START + ms(10), [arrived(1, "s", "clip")]);
-    core.step(START + ms(20), [list_update(ListMode::Whole, vec![])]);
+    core.step(START + ms(20), [list_update(ListMode::Full, vec![])]);
     let out = core.step(START + ms(30), [playing(sent_setup(&out).attempt)]);
     assert_eq!(summaries(&out), ["1 stream body"]);
     core.step(START + ms(40), [list_update(ListMode::Patch, vec![server(2, WireState::Serving)])]);
@@ -118,7 +121,7 @@
     let send_deadline = |age_ms: Option<u64>| {
         let mut core = platform_core();
         let entry = ServerEntry { started_ms_ago: age_ms, ..server(1, WireState::Serving) };
-        let out = core.step(START, [list_update(ListMode::Whole, vec![entry]), arrived(1, "s", "clip")]);
+        let out = core.step(START, [list_update(ListMode::Full, vec![entry]), arrived(1, "s", "clip")]);
         sent_setup(&out).send_deadline
     };
     assert_eq!(send_deadline(None), START + ms(1_000));
--- a/crates/session/tests/races/mod.rs
+++ b/crates/session/tests/races/mod.rs
@@ -134,7 +134,7 @@
                 let mut entries = vec![server(server_id, state)];
                 if occurrence == Unlisted {
                     let others = (1..=3).filter(|n| *n != server_id).map(|n| server(n, WireState::Serving));
-                    return list_update(ListMode::Whole, others.collect());
+                    return list_update(ListMode::Full, others.collect());
                 }
                 if occurrence == Replaced {
                     entries.push(ServerEntry {
--- a/crates/session/tests/regressions.rs
+++ b/crates/session/tests/regressions.rs
@@ -94,7 +94,7 @@
 impl Policy for RepeatingPolicy {
     fn step(&mut self, _: Duration, events: &[Event]) -> Vec<Action> {
         let calls = events.iter().filter_map(|e| match e {
-            Event::Call(call) => Some(call.request),
+            Event::Request(request) => Some(request.id),
             _ => None,
         });
         let all = |r| [Action::Send(r, 1, ms(500)), Action::Send(r, 2, ms(500)), Action::Refuse(r, ms(500))];
@@ -119,8 +119,8 @@
 impl Policy for RetryingPolicy {
     fn step(&mut self, _: Duration, events: &[Event]) -> Vec<Action> {
         let request_to_send = |e: &Event| match e {
-            Event::Call(call) => Some(call.request),
-            Event::Ended(request, ..) => Some(*request),
+            Event::Request(request) => Some(request.id),
+            Event::AttemptEnded(request, ..) => Some(*request),
             _ => None,
         };
         events.iter().filter_map(request_to_send).map(|r| Action::Send(r, 99, ms(500))).collect()
--- a/crates/session/tests/server_list.rs
+++ b/crates/session/tests/server_list.rs
@@ -10,7 +10,7 @@
 fn a_server_that_returns_is_used_again_and_is_cold_after_a_restart() {
     let mut core = core();
     core.step(START, [serving_list(1)]);
-    core.step(START + ms(10), [list_update(ListMode::Whole, vec![])]);
+    core.step(START + ms(10), [list_update(ListMode::Full, vec![])]);
     assert_eq!(summaries(&core.step(START + ms(20), [arrived(1, "a", "clip")])), ["1 refused no-servers"]);
     let mut back = server(1, WireState::Serving);
     core.step(START + ms(30), [list_update(ListMode::Patch, vec![back.clone()])]);
