--- a/crates/session/src/core/attempts.rs
+++ b/crates/session/src/core/attempts.rs
@@ -125,8 +125,14 @@
         } else if session.paid && session.possibly_executed_end.is_none() && end != AttemptEnd::NotPersisted {
             self.commands.push(Command::Persist(Deed::Unrun { sid: digest(&session.sid) }));
         }
-        let ended =
-            Event::AttemptEnded(attempt.request, attempt.number, server, outcome, abandoned, load.report());
+        let ended = Event::AttemptEnded(
+            attempt.request,
+            attempt.number,
+            server,
+            outcome,
+            abandoned,
+            load.to_load_report(),
+        );
         self.events.push(ended);
         if abandoned {
             let (waiting, paid_executed) = (
--- a/crates/session/src/core/inputs.rs
+++ b/crates/session/src/core/inputs.rs
@@ -87,10 +87,10 @@
         );
         let paid_deadlines = self.config.classes.iter().filter(|c| c.paid).map(|c| c.deadline);
         self.history.restore(self.now, &mut recovered, paid_deadlines.max().unwrap_or_default());
-        let ran = (recovered.trust != Trust::First).then_some(Duration::ZERO);
+        let last_setup_age = (recovered.trust != Trust::First).then_some(Duration::ZERO);
         // A front without persistence starts with an empty list, so no entry on it can be out of date.
         let list_may_be_stale = !matches!(recovered.trust, Trust::First | Trust::Unkept);
-        let late = self
+        let list_delay = self
             .config
             .persistence
             .as_ref()
@@ -99,8 +99,8 @@
         self.events.push(Event::RecoveredHistory(RecoveredHistory {
             retry_ages: recovered.further,
             complete_for: recovered.known,
-            last_setup_age: ran,
-            list_delay: late,
+            last_setup_age,
+            list_delay,
         }));
     }
 }
--- a/crates/session/src/core/list_updates.rs
+++ b/crates/session/src/core/list_updates.rs
@@ -24,8 +24,8 @@
         self.events.extend(peer_reports.into_iter().map(Event::PeerReport));
         let failures = self.history.take_failures(|server| self.list.address(server).is_some());
         self.events.extend(failures.into_iter().map(Event::PeerReport));
-        let whole_list = update.mode == ListMode::Full;
-        for (address, held) in self.history.take_releases(whole_list, |server| self.list.address(server)) {
+        let full_list = update.mode == ListMode::Full;
+        for (address, held) in self.history.take_releases(full_list, |server| self.list.address(server)) {
             let (server, sid) = (held.server, SessionId::from(held.sid));
             self.commands.push(Command::Release { address, server, sid });
         }
--- a/crates/session/src/core/playing.rs
+++ b/crates/session/src/core/playing.rs
@@ -83,7 +83,14 @@
         let sid = session.sid.clone();
         self.commands.push(Command::Release { address, server, sid: sid.clone() });
         self.commands.push(Command::SessionEnded { sid, server, reason });
-        self.events.push(Event::AttemptEnded(request, attempt.number, server, outcome, true, load.report()));
+        self.events.push(Event::AttemptEnded(
+            request,
+            attempt.number,
+            server,
+            outcome,
+            true,
+            load.to_load_report(),
+        ));
         self.remove_session(request);
     }
 
--- a/crates/session/src/core/viewers.rs
+++ b/crates/session/src/core/viewers.rs
@@ -33,11 +33,11 @@
             return self
                 .answer(arrival.viewer, Answer::Refused { retry_after, reason: RejectReason::FrontFull });
         }
-        increment(&self.stats.calls);
+        increment(&self.stats.requests);
         let request = self.next_request;
         self.next_request += 1;
         let deadline = self.now + arrival.max_wait.saturating_sub(self.config.answer_margin);
-        self.events.push(Event::Request(arrival.call(request, deadline)));
+        self.events.push(Event::Request(arrival.to_session_request(request, deadline)));
         self.log_dropped_hints(&arrival);
         self.by_sid.insert(arrival.sid.clone(), request);
         let waiting = vec![WaitingViewer { viewer: arrival.viewer, is_owner: true, resubmitted: None }];
@@ -54,7 +54,7 @@
         let Some(address) = self.list.address(server).filter(|_| has_room) else { return };
         let request = self.next_request;
         self.next_request += 1;
-        self.events.push(Event::Adopted(arrival.call(request, self.now), server));
+        self.events.push(Event::Adopted(arrival.to_session_request(request, self.now), server));
         self.by_sid.insert(arrival.sid.clone(), request);
         let paid = self.config.classes[arrival.class].paid;
         let mut session = Session { attempts: 1, ..Session::new(arrival, paid, self.now) };
--- a/crates/session/src/history.rs
+++ b/crates/session/src/history.rs
@@ -181,17 +181,17 @@
 
     /// Takes the sessions of the previous incarnation whose servers have a known address, to release them once.
     ///
-    /// A session whose server is missing on a whole list is dropped; the server's idle timeout ends it.
+    /// A session whose server is missing on a full list is dropped; the server's idle timeout ends it.
     pub(crate) fn take_releases<A>(
         &mut self,
-        whole_list: bool,
+        full_list: bool,
         address: impl Fn(ServerId) -> Option<A>,
     ) -> Vec<(A, Held)> {
         let mut releases = Vec::new();
         for held in std::mem::take(&mut self.unreleased) {
             match address(held.server) {
                 Some(address) => releases.push((address, held)),
-                None if !whole_list => self.unreleased.push(held),
+                None if !full_list => self.unreleased.push(held),
                 None => {}
             }
         }
--- a/crates/session/src/knowledge.rs
+++ b/crates/session/src/knowledge.rs
@@ -79,11 +79,17 @@
         ensure(shown == last, || InvariantViolation::StaleSnapshot { shown, last })
     }
 
-    /// Stores how an attempt or a session at a server ended. `lost` is true if the server was
-    /// unreachable or lost the session.
-    pub(crate) fn record_outcome(&mut self, now: Duration, server: u64, worked: bool, lost: bool) {
+    /// Stores how an attempt or a session at a server ended. `may_have_restarted` is true if
+    /// the server was unreachable or lost the session.
+    pub(crate) fn record_outcome(
+        &mut self,
+        now: Duration,
+        server: u64,
+        worked: bool,
+        may_have_restarted: bool,
+    ) {
         if self.enabled {
-            self.store.behaved(now, server, worked, lost);
+            self.store.behaved(now, server, worked, may_have_restarted);
         }
     }
 
--- a/crates/session/src/list/feed.rs
+++ b/crates/session/src/list/feed.rs
@@ -21,7 +21,7 @@
     pub kind: MessageKind,
     /// Version of the list after the message is applied.
     pub version: u64,
-    /// Version of the list that a patch applies to. Unused in a whole list.
+    /// Version of the list that a patch applies to. Unused in a full list.
     #[serde(default)]
     pub after: u64,
     /// Servers in the message.
@@ -78,7 +78,7 @@
 
 /// Decoder for the messages of one discovery stream, which checks their order.
 ///
-/// Each new stream needs a new feed, and begins with a whole list, so patches of two streams never mix.
+/// Each new stream needs a new feed, and begins with a full list, so patches of two streams never mix.
 #[derive(Debug, Default)]
 pub struct Feed {
     /// Version of the last message; `None` before the first one.
--- a/crates/session/src/policy.rs
+++ b/crates/session/src/policy.rs
@@ -3,7 +3,9 @@
 use cloverhollow::{Action, Event, ServerId, SessionPolicy};
 use std::time::Duration;
 
-/// Chooses servers, rungs and retries for sessions. [`SessionPolicy`] in production; the laboratory substitutes baselines.
+/// Chooses servers, rungs and retries for sessions.
+///
+/// Implemented by [`SessionPolicy`] in production; the laboratory substitutes baselines.
 pub trait Policy: Send {
     /// Processes all events of one instant and returns the actions to take, in order.
     fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Action>;
--- a/crates/session/src/stats.rs
+++ b/crates/session/src/stats.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct Stats {
     /// Sessions requested and passed to the policy.
-    pub calls: AtomicU64,
+    pub requests: AtomicU64,
     /// Set-up attempts sent.
     pub attempts: AtomicU64,
     /// Attempts that led to a playing session.
@@ -74,7 +74,7 @@
             let _ = writeln!(out, "cloverhollow_{name}_total{label} {}", counter.load(Relaxed));
         };
         for (name, counter) in [
-            ("calls", &self.calls),
+            ("calls", &self.requests),
             ("attempts", &self.attempts),
             ("playing", &self.playing),
             ("hung_up", &self.disconnected),
--- a/crates/session/src/types/inputs.rs
+++ b/crates/session/src/types/inputs.rs
@@ -44,7 +44,7 @@
 
 impl<A> Arrival<A> {
     /// Converts this request to the policy's form.
-    pub(crate) fn call(&self, request: RequestId, deadline: Duration) -> SessionRequest {
+    pub(crate) fn to_session_request(&self, request: RequestId, deadline: Duration) -> SessionRequest {
         SessionRequest {
             id: request,
             title: self.title,
--- a/crates/session/src/types/mod.rs
+++ b/crates/session/src/types/mod.rs
@@ -45,7 +45,7 @@
 
 impl Load {
     /// Converts this load to the policy's form, which has no session share.
-    pub(crate) fn report(self) -> LoadReport {
+    pub(crate) fn to_load_report(self) -> LoadReport {
         LoadReport { link_load: self.link, uplink_load: self.rack }
     }
 }
--- a/crates/session/tests/list_bounds.rs
+++ b/crates/session/tests/list_bounds.rs
@@ -33,7 +33,7 @@
     core.step(START + ms(2), [list_update(ListMode::Patch, entries(0..10, WireState::Gone))]);
     core.step(START + ms(3), [list_update(ListMode::Patch, entries(MAX..MAX + 11, WireState::Serving))]);
     assert_eq!((core.check(), core.server_list().serving_count()), (Ok(()), MAX_SERVERS));
-    // A whole list of other servers replaces all of them.
+    // A full list of other servers replaces all of them.
     core.step(START + ms(4), [list_update(ListMode::Full, entries(2 * MAX..3 * MAX, WireState::Serving))]);
     assert_eq!(
         (core.check(), core.server_list().serving_count(), core.server_list().len()),
--- a/crates/session/tests/load/random_policy.rs
+++ b/crates/session/tests/load/random_policy.rs
@@ -67,11 +67,13 @@
                         }
                     }
                 }
-                Event::Request(call) => {
-                    self.requests.insert(call.id, (call.deadline, false, 0));
-                    out.push(Action::SetTimer(call.deadline.saturating_sub(now), call.id));
+                Event::Request(request) => {
+                    self.requests.insert(request.id, (request.deadline, false, 0));
+                    out.push(Action::SetTimer(request.deadline.saturating_sub(now), request.id));
+                }
+                Event::Adopted(request, _) => {
+                    _ = self.requests.insert(request.id, (request.deadline, true, 1))
                 }
-                Event::Adopted(call, _) => _ = self.requests.insert(call.id, (call.deadline, true, 1)),
                 Event::AttemptEnded(request, _, _, outcome, _, _) => {
                     if let Some(state) = self.requests.get_mut(request) {
                         state.1 |= !outcome.never_executed();
--- a/crates/session/tests/platform.rs
+++ b/crates/session/tests/platform.rs
@@ -66,7 +66,10 @@
         START + ms(40),
         [report(SessionReport::DeliveredShare(0.5)), report(SessionReport::UplinkLoad(1.5))],
     );
-    assert_eq!(*reported.lock().unwrap(), ["Note(1, 1, Share(0.5))", "Note(1, 1, Rack(1.5))"]);
+    assert_eq!(
+        *reported.lock().unwrap(),
+        ["SessionReport(1, 1, DeliveredShare(0.5))", "SessionReport(1, 1, UplinkLoad(1.5))"]
+    );
 }
 
 /// An answer that came after its server had left the list was dropped, and its client got none.
--- a/crates/session/tests/races/mod.rs
+++ b/crates/session/tests/races/mod.rs
@@ -20,7 +20,7 @@
     Gone,
     /// Another server is listed at its address.
     Replaced,
-    /// The server is missing on a whole list.
+    /// The server is missing on a full list.
     Unlisted,
 }
 
--- a/crates/session/tests/regressions.rs
+++ b/crates/session/tests/regressions.rs
@@ -93,12 +93,12 @@
 
 impl Policy for RepeatingPolicy {
     fn step(&mut self, _: Duration, events: &[Event]) -> Vec<Action> {
-        let calls = events.iter().filter_map(|e| match e {
+        let requests = events.iter().filter_map(|e| match e {
             Event::Request(request) => Some(request.id),
             _ => None,
         });
         let all = |r| [Action::Send(r, 1, ms(500)), Action::Send(r, 2, ms(500)), Action::Refuse(r, ms(500))];
-        calls.flat_map(all).collect()
+        requests.flat_map(all).collect()
     }
 }
 
--- a/crates/session/tests/restart_history.rs
+++ b/crates/session/tests/restart_history.rs
@@ -93,8 +93,8 @@
     let used_servers = |records: &[Deed]| {
         let mut core = common::core();
         core.step(START, [Input::Recovered(Box::new(recover_after(records, 50))), stale()]);
-        let calls = (1..9).map(|v| arrived(v, &format!("s{v}"), "clip"));
-        let commands = core.step(START + ms(1), calls);
+        let requests = (1..9).map(|v| arrived(v, &format!("s{v}"), "clip"));
+        let commands = core.step(START + ms(1), requests);
         let servers = commands.iter().filter_map(|c| match c {
             Command::Send(s) => Some(s.server),
             _ => None,
@@ -184,8 +184,8 @@
         let mut core = common::core();
         core.step(START, [Input::Recovered(Box::new(recover_after(records, 50))), serving_list(1)]);
         // Past the suspension after a failure and the check after a return: only the cold start still limits set-ups.
-        let calls = (1..9).map(|v| arrived(v, &format!("s{v}"), "clip"));
-        let commands = core.step(START + ms(6_000), calls);
+        let requests = (1..9).map(|v| arrived(v, &format!("s{v}"), "clip"));
+        let commands = core.step(START + ms(6_000), requests);
         commands.iter().filter(|c| matches!(c, Command::Send(_))).count()
     };
     assert_eq!(sent_at_once(&[]), 8);
--- a/crates/session/tests/server_list.rs
+++ b/crates/session/tests/server_list.rs
@@ -84,8 +84,8 @@
 fn the_number_of_sessions_is_bounded() {
     let mut core = core();
     core.step(START, [serving_list(3)]);
-    let calls: Vec<_> = (0..60).map(|i| arrived(i, &format!("s{i}"), "clip")).collect();
-    let out = summaries(&core.step(START, calls));
+    let requests: Vec<_> = (0..60).map(|i| arrived(i, &format!("s{i}"), "clip")).collect();
+    let out = summaries(&core.step(START, requests));
     assert!(core.session_count() <= 50);
     assert!(out.iter().any(|w| w.ends_with("front-full")), "{out:?}");
 }
