--- /dev/null
+++ b/crates/node/src/event_loop/releases.rs
@@ -0,0 +1,43 @@
+//! Releases sent to viewers.
+
+use super::viewers::ViewerCloseReason;
+use super::*;
+
+impl EventLoop {
+    /// Sends a release on the connection it is meant for, or else on any other.
+    pub(super) fn send_release(&mut self, release: Release) {
+        let mut next = Some(release);
+        // Each iteration beyond the first has closed a connection that accepted no more bytes, so the loop
+        // ends.
+        while let Some(Release { conn, sid, cause }) = next {
+            tracing::info!(session = %sid, conn = conn.0, cause, "sending a release to a viewer");
+            if self.write(conn, viewer::release_request(&sid, cause)) {
+                self.unacknowledged.record(self.clock.now(), Release { conn, sid, cause });
+                return;
+            }
+            next = self.registry.route_release(&sid, cause);
+        }
+    }
+
+    /// Marks a connection as one that carries sessions, and sends the releases that waited for such a
+    /// connection.
+    pub(super) fn send_waiting_releases(&mut self, conn: ConnId) {
+        for release in self.registry.mark_session_carrier(conn) {
+            self.send_release(release);
+        }
+    }
+
+    /// Sends releases again on another connection if the viewer may not have read them before its connection
+    /// ended. Connections closed for other reasons still write what is queued.
+    pub(super) fn resend_releases(&mut self, conn: ConnId, reason: ViewerCloseReason) {
+        let lost = self.unacknowledged.take_lost(self.clock.now(), conn);
+        if !matches!(reason, ViewerCloseReason::Closed | ViewerCloseReason::ReadsTooSlowly) {
+            return;
+        }
+        for Release { sid, cause, .. } in lost {
+            if let Some(release) = self.registry.route_release(&sid, cause) {
+                self.send_release(release);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/links/types.rs
@@ -0,0 +1,37 @@
+//! Set-ups and lines as they are passed between the event loop and [`Links`](super::Links).
+
+use crate::viewer_conn::SetupWaiter;
+use bytes::Bytes;
+use cloverhollow::ServerId;
+use cloverhollow_session::{AttemptEnd, AttemptId, SessionId};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A set-up to be sent.
+pub(crate) struct OutgoingSetup {
+    pub(crate) attempt: AttemptId,
+    pub(crate) server: ServerId,
+    pub(crate) address: SocketAddr,
+    pub(crate) sid: SessionId,
+    /// The set-up must not take effect more than once.
+    pub(crate) paid: bool,
+    /// Encoded START line.
+    pub(crate) line: Bytes,
+    /// Time after which the set-up must not be sent any more.
+    pub(crate) send_deadline: Duration,
+    pub(crate) waiter: Option<SetupWaiter>,
+}
+
+/// The link that delivered a line, as seen by the event loop.
+pub(crate) struct LineSource {
+    /// The server that the connection was opened for.
+    pub(crate) server: ServerId,
+    /// Listen address of the server process.
+    pub(crate) address: SocketAddr,
+    /// The line concerns the set-up that is open on the connection.
+    pub(crate) is_open_setup: bool,
+    pub(crate) is_closing: bool,
+}
+
+/// A set-up that has ended and its proven outcome; `None` if no set-up ended.
+pub(crate) type EndedSetup = Option<(AttemptId, AttemptEnd)>;
