--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -49,13 +49,13 @@
     seed: u64,
 ) -> Result<StepObserver, ServeError> {
     let name = settings.instance.name.as_str();
-    let begun = Recorder::begin(dir, name, settings_text, seed);
+    let begun = Recorder::create(dir, name, settings_text, seed);
     let mut recorder =
         begun.map_err(|source| ServeError::Record { dir: dir.display().to_string(), source })?;
     tracing::info!(file = %recorder.path.display(), "recording");
     let mut active = true;
     Ok(Box::new(move |now, events, actions| {
-        if active && !recorder.step(now, events, actions) {
+        if active && !recorder.record_step(now, events, actions) {
             active = false;
             tracing::warn!("recording stopped: the writer lags behind or the disk is full");
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -108,7 +108,7 @@
         Ok(report) => report,
         Err(e) => return fail(&e, 2),
     };
-    let truncated = if report.cut { "; the file is truncated inside its last step" } else { "" };
+    let truncated = if report.truncated { "; the file is truncated inside its last step" } else { "" };
     println!("{} steps, {} events, {} actions{truncated}", report.steps, report.events, report.actions);
     match report.difference {
         None => {
@@ -118,7 +118,7 @@
         Some(difference) => {
             println!(
                 "step {} produced other actions\n  recorded {:?}\n  replayed {:?}",
-                difference.step, difference.recorded, difference.came
+                difference.step, difference.recorded, difference.replayed
             );
             ExitCode::FAILURE
         }
--- a/crates/front/src/journal.rs
+++ b/crates/front/src/journal.rs
@@ -10,8 +10,8 @@
 
 use crate::clock::stamp;
 use cloverhollow_recovery::frame::{encode, MAGIC};
-use cloverhollow_recovery::{Bounds, Deed, Ledger, Stamp};
-use cloverhollow_store::Paper;
+use cloverhollow_recovery::{Ledger, LedgerLimits, LogRecord, Timestamp};
+use cloverhollow_store::LogStorage;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 
 /// What a deed's taker-down is told.
 struct Line {
-    deed: Deed,
+    deed: LogRecord,
     done: Option<oneshot::Sender<bool>>,
 }
 
@@ -98,7 +98,7 @@
     /// Further attempts older than this count no more.
     pub(crate) span: Duration,
     /// Bounds of the ledger.
-    pub(crate) bounds: Bounds,
+    pub(crate) bounds: LedgerLimits,
 }
 
 /// The way to the paper.
@@ -123,7 +123,7 @@
     }
 
     /// Starts the thread. The paper is written anew first: with `ledger`, and `began` as its next deed.
-    pub(crate) fn start(paper: Box<dyn Paper>, ledger: Ledger, began: Deed, rules: Rules) -> Self {
+    pub(crate) fn start(paper: Box<dyn LogStorage>, ledger: Ledger, began: LogRecord, rules: Rules) -> Self {
         let (to, from) = mpsc::channel(MOST_WAITING);
         // Guards against a front that says that it is ready before it knows whether it can write.
         let failing = Mutex::new(Some("nothing is written yet".to_string()));
@@ -137,7 +137,7 @@
     }
 
     /// Hands in a deed that is not done before it is on the paper.
-    pub(crate) fn ask(&self, deed: Deed) -> Ticket {
+    pub(crate) fn ask(&self, deed: LogRecord) -> Ticket {
         let Some(to) = &self.to else { return Ticket::Free };
         let (done, waits) = oneshot::channel();
         match to.try_send(Word::Line(Line { deed, done: Some(done) })) {
@@ -150,7 +150,7 @@
     }
 
     /// Hands in a deed that nobody waits for.
-    pub(crate) fn tell(&self, deed: Deed) {
+    pub(crate) fn tell(&self, deed: LogRecord) {
         let Some(to) = &self.to else { return };
         if to.try_send(Word::Line(Line { deed, done: None })).is_err() {
             self.status.refused.fetch_add(1, Relaxed);
@@ -169,7 +169,7 @@
 }
 
 struct Scribe {
-    paper: Box<dyn Paper>,
+    paper: Box<dyn LogStorage>,
     ledger: Ledger,
     rules: Rules,
     /// Bytes since the paper was written anew.
@@ -210,7 +210,7 @@
                 match word {
                     Word::Line(line) => lines.push(line),
                     Word::Close(done) => {
-                        lines.push(Line { deed: Deed::Ended, done: None });
+                        lines.push(Line { deed: LogRecord::CleanShutdown, done: None });
                         closed = Some(done);
                         break;
                     }
@@ -264,10 +264,10 @@
 
     /// Writes the paper anew: all that still counts, and nothing else.
     fn anew(&mut self) -> bool {
-        let at: Stamp = stamp();
-        self.ledger.forget_further(at, self.rules.span);
+        let at: Timestamp = stamp();
+        self.ledger.forget_retries(at, self.rules.span);
         let mut text = MAGIC.to_vec();
-        if encode(at, &Deed::Whole(Box::new(self.ledger.clone())), &mut text).is_err() {
+        if encode(at, &LogRecord::Snapshot(Box::new(self.ledger.clone())), &mut text).is_err() {
             return self.status.set(Err(std::io::Error::other("the ledger is too long")));
         }
         let written = self.paper.replace(&text);
@@ -281,7 +281,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cloverhollow_recovery::{frame, Boot};
+    use cloverhollow_recovery::{frame, BootId};
     use std::io;
     use std::sync::atomic::AtomicBool;
 
@@ -304,14 +304,14 @@
             Ok(())
         }
 
-        fn deeds(&self) -> Vec<Deed> {
+        fn deeds(&self) -> Vec<LogRecord> {
             let text = self.text.lock().unwrap();
-            let all = frame::read(&text).unwrap().deeds.into_iter().map(|(_, deed)| deed);
-            all.filter(|d| !matches!(d, Deed::Whole(_))).collect()
+            let all = frame::decode(&text).unwrap().records.into_iter().map(|(_, deed)| deed);
+            all.filter(|d| !matches!(d, LogRecord::Snapshot(_))).collect()
         }
     }
 
-    impl Paper for Sheet {
+    impl LogStorage for Sheet {
         fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
             self.appends.fetch_add(1, Relaxed);
             self.write(|text| text.extend_from_slice(bytes))
@@ -327,13 +327,13 @@
     }
 
     fn journal(sheet: &Sheet) -> Journal {
-        let rules = Rules { sync: true, span: Duration::from_secs(10), bounds: Bounds::default() };
-        let began = Deed::Began { boot: Boot(1) };
+        let rules = Rules { sync: true, span: Duration::from_secs(10), bounds: LedgerLimits::default() };
+        let began = LogRecord::IncarnationStarted { boot: BootId(1) };
         Journal::start(Box::new(sheet.clone()), Ledger::default(), began, rules)
     }
 
-    fn out(sid: usize) -> Deed {
-        Deed::Out { sid: format!("s{sid}"), server: 1, paid: true, further: false }
+    fn out(sid: usize) -> LogRecord {
+        LogRecord::AttemptStarted { sid: format!("s{sid}"), server: 1, paid: true, is_retry: false }
     }
 
     #[tokio::test]
@@ -342,9 +342,9 @@
         let journal = journal(&sheet);
         assert!(journal.ask(out(1)).granted().await);
         assert_eq!(sheet.deeds(), [out(1)]);
-        journal.tell(Deed::Listed { server: 4, serves: false });
+        journal.tell(LogRecord::ServerListed { server: 4, accepts_sessions: false });
         journal.close().await;
-        assert_eq!(sheet.deeds().last(), Some(&Deed::Ended));
+        assert_eq!(sheet.deeds().last(), Some(&LogRecord::CleanShutdown));
         assert!(!journal.ask(out(2)).granted().await, "nobody writes any more");
     }
 
@@ -372,7 +372,7 @@
         sheet.full.store(true, Relaxed);
         assert!(!journal.ask(out(2)).granted().await);
         assert!(journal.status.failing().is_some());
-        journal.tell(Deed::Listed { server: 4, serves: false });
+        journal.tell(LogRecord::ServerListed { server: 4, accepts_sessions: false });
         sheet.full.store(false, Relaxed);
         while journal.status.failing().is_some() {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -381,10 +381,10 @@
         // What was refused is not on the paper; what was done meanwhile is.
         assert!(sheet.deeds().contains(&out(3)) && !sheet.deeds().contains(&out(2)));
         let mut ledger = Ledger::default();
-        for (at, deed) in frame::read(&sheet.text.lock().unwrap()).unwrap().deeds {
-            ledger.apply(at, &deed, &Bounds::default());
+        for (at, deed) in frame::decode(&sheet.text.lock().unwrap()).unwrap().records {
+            ledger.apply(at, &deed, &LedgerLimits::default());
         }
-        assert_eq!(ledger.paid().iter().len(), 2, "the first and the third");
+        assert_eq!(ledger.paid_sessions().iter().len(), 2, "the first and the third");
         assert!(ledger.stopped().contains(&4));
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -91,7 +91,7 @@
     },
     /// Another process of this front runs: two lives at once would each spend the whole of every budget.
     #[error("keep.file: {0}")]
-    AlreadyRunning(#[from] cloverhollow_store::PaperError),
+    AlreadyRunning(#[from] cloverhollow_store::LogFileError),
 }
 
 /// A front that runs.
@@ -157,14 +157,14 @@
         // What was kept goes in before the first request can: the desk reads its mails in order.
         let now = clock.now();
         let proven = lives.recovered.trust;
-        state.set_before(proven.words(), lives.wait.deaths, now + lives.wait.hold);
-        if !lives.wait.hold.is_zero() {
-            let (deaths, hold_ms) = (lives.wait.deaths, lives.wait.hold.as_millis() as u64);
+        state.set_before(proven.describe(), lives.wait.crashes, now + lives.wait.delay);
+        if !lives.wait.delay.is_zero() {
+            let (deaths, hold_ms) = (lives.wait.crashes, lives.wait.delay.as_millis() as u64);
             tracing::warn!(deaths, hold_ms, "died again and again: takes no viewers for a while");
         }
         let ahead = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
         let _ = shared.desk.send(desk::Mail::of(Input::ClockOffset(ahead))).await;
-        if proven != Trust::First {
+        if proven != Trust::FirstStart {
             let _ = shared.desk.send(desk::Mail::of(Input::Recovered(Box::new(lives.recovered)))).await;
         }
         if let Some(news) = loaded.list {
@@ -199,7 +199,7 @@
         let journal = shared.journal.clone();
         tasks.spawn(until(stop.clone(), async move {
             // Drains that the last life heard may be lost: then the list is waited for.
-            let _ = tokio::time::timeout(hold, state.settled(proven.misses())).await;
+            let _ = tokio::time::timeout(hold, state.settled(proven.may_miss_records())).await;
             tokio::join!(
                 accept::accept(listener, shared.clone(), state.clone()),
                 out::comes_back(shared, state)
--- a/crates/front/src/lives.rs
+++ b/crates/front/src/lives.rs
@@ -2,10 +2,12 @@
 
 use crate::clock::{boot, stamp};
 use crate::journal::{Journal, Rules};
-use cloverhollow_recovery::backoff::Wait;
-use cloverhollow_recovery::{recover, Backoff, Bounds, Deed, Found, Recovered, Trust};
+use cloverhollow_recovery::backoff::StartDelay;
+use cloverhollow_recovery::{
+    recover, FoundLog, LedgerLimits, LogRecord, RecoveredState, RestartBackoff, Trust,
+};
 use cloverhollow_settings::{FrontSettings, Outlives};
-use cloverhollow_store::{beside, Paper, PaperError, PaperFile};
+use cloverhollow_store::{sibling_path, LogFile, LogFileError, LogStorage};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use tokio::task::spawn_blocking;
@@ -18,13 +20,13 @@
 /// What a start knows, and the journal to go on with.
 pub(crate) struct Lives {
     pub(crate) journal: Journal,
-    pub(crate) recovered: Recovered,
-    pub(crate) wait: Wait,
+    pub(crate) recovered: RecoveredState,
+    pub(crate) wait: StartDelay,
 }
 
 /// The file of deeds, beside the store.
 pub fn log_file_path(keep: &Path) -> PathBuf {
-    beside(keep, ".deeds")
+    sibling_path(keep, ".deeds")
 }
 
 /// Opens the paper; waits a little for a process that is just ending. The disk is waited for on a thread that
@@ -33,20 +35,22 @@
 /// # Errors
 /// Another process of this front runs on: two lives at once would each spend the whole of every budget.
 /// Other errors are none: the front goes on without a paper, and takes nothing down.
-pub(crate) async fn open(settings: &FrontSettings) -> Result<Option<cloverhollow_store::Found>, PaperError> {
+pub(crate) async fn open(
+    settings: &FrontSettings,
+) -> Result<Option<cloverhollow_store::OpenedLog>, LogFileError> {
     let Some(path) = settings.keep.file.as_deref().map(log_file_path) else { return Ok(None) };
     let opened = spawn_blocking(move || {
         let begun = Instant::now();
         loop {
-            match PaperFile::open(&path) {
-                Err(PaperError::Held { .. }) if begun.elapsed() < LETS_GO => std::thread::sleep(LOOK),
+            match LogFile::open(&path) {
+                Err(LogFileError::Locked { .. }) if begun.elapsed() < LETS_GO => std::thread::sleep(LOOK),
                 other => return other,
             }
         }
     });
     match opened.await {
         Ok(Ok(found)) => Ok(Some(found)),
-        Ok(Err(held @ PaperError::Held { .. })) => Err(held),
+        Ok(Err(held @ LogFileError::Locked { .. })) => Err(held),
         Ok(Err(error)) => {
             tracing::error!(%error, "deeds cannot be kept: no paid set-up goes out");
             Ok(None)
@@ -58,34 +62,34 @@
 /// Reads what was found. `ran_before`: something else than the paper says that there was a life before.
 pub(crate) fn read(
     settings: &FrontSettings,
-    found: Option<cloverhollow_store::Found>,
+    found: Option<cloverhollow_store::OpenedLog>,
     ran_before: bool,
 ) -> Lives {
     let Some(found) = found else { return without(settings) };
-    let (paper, bytes, changed_ms) = (found.paper, found.bytes, found.changed_ms);
+    let (paper, bytes, changed_ms) = (found.log, found.bytes, found.changed_unix_ms);
     let (boot, now) = (boot(), stamp());
-    let bounds = Bounds { paid: settings.sessions.spent.count(), ..Bounds::default() };
-    let there = Found { bytes: bytes.as_deref(), changed_ms, ran_before };
+    let bounds = LedgerLimits { paid_sessions: settings.sessions.spent.count(), ..LedgerLimits::default() };
+    let there = FoundLog { bytes: bytes.as_deref(), changed_unix_ms: changed_ms, ran_before };
     let (ledger, recovered) = recover(there, boot, now, &bounds);
     if let Trust::Unproven(why) = recovered.trust {
-        let aside = paper.set_aside().map(|p| p.display().to_string()).unwrap_or_default();
+        let aside = paper.copy_to_quarantine().map(|p| p.display().to_string()).unwrap_or_default();
         tracing::warn!(%why, aside, "earlier lives are not proven: what they may have spent counts as spent");
     }
     let r = &settings.keep.restarts;
-    let backoff = Backoff {
+    let backoff = RestartBackoff {
         window: r.window_ms.get(),
-        free: r.free.count(),
-        first: r.first_ms.get(),
-        most: r.most_ms.get(),
+        free_crashes: r.free.count(),
+        initial_delay: r.first_ms.get(),
+        max_delay: r.most_ms.get(),
     };
-    let wait = backoff.wait(&ledger, boot, now);
+    let wait = backoff.start_delay(&ledger, boot, now);
     let rules = Rules {
         sync: settings.keep.outlives == Outlives::Machine,
         span: settings.rules.ration.as_ref().map_or(Duration::ZERO, |r| r.span_ms.get()),
         bounds,
     };
-    let paper: Box<dyn Paper> = Box::new(paper);
-    let journal = Journal::start(paper, ledger, Deed::Began { boot }, rules);
+    let paper: Box<dyn LogStorage> = Box::new(paper);
+    let journal = Journal::start(paper, ledger, LogRecord::IncarnationStarted { boot }, rules);
     Lives { journal, recovered, wait }
 }
 
@@ -95,5 +99,5 @@
         None => Journal::none(),
         Some(_) => Journal::broken(),
     };
-    Lives { journal, recovered: Recovered::unkept(), wait: Wait::default() }
+    Lives { journal, recovered: RecoveredState::not_persisted(), wait: StartDelay::default() }
 }
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -13,7 +13,8 @@
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_members::{
-    Key, Life, Member, MemberSettings, Notice, Outgoing, Sure, SwimSettings, Who, MOST_BODY, MOST_DATAGRAM,
+    Incarnation, Key, Member, MemberConfig, MemberEvent, MemberId, MemberState, OutgoingDatagram, SwimConfig,
+    MAX_BODY_BYTES, MAX_DATAGRAM_BYTES,
 };
 use cloverhollow_net::{connect, unix_ms, Clock};
 use cloverhollow_session::{invariants_hold, INVARIANT_EXIT_CODE};
@@ -66,33 +67,34 @@
                 .map_err(|reason| StartError::InvalidKey { file: k.file.display().to_string(), reason })?;
             keys.push(Key { id: k.id.get() as u32, secret });
         }
-        let me = Who {
+        let me = MemberId {
             address: m.address.unwrap_or(bound),
-            side,
+            side_address: side,
             name: settings.instance.name.as_str().into(),
-            hall: settings.instance.hall.as_str().into(),
-            life: Life { number: unix_ms(), token: fastrand::u64(1..) },
+            zone: settings.instance.hall.as_str().into(),
+            incarnation: Incarnation { number: unix_ms(), token: fastrand::u64(1..) },
         };
-        let swim = SwimSettings {
-            probe: m.probe_ms.get(),
-            answer: m.answer_ms.get(),
-            suspicion: m.suspicion_ms.get(),
-            gossip: m.gossip_ms.get(),
-            heal: m.heal_ms.get(),
+        let swim = SwimConfig {
+            probe_interval: m.probe_ms.get(),
+            probe_timeout: m.answer_ms.get(),
+            suspicion_timeout: m.suspicion_ms.get(),
+            gossip_interval: m.gossip_ms.get(),
+            rejoin_interval: m.heal_ms.get(),
             seeds: m.seeds.clone(),
-            ..SwimSettings::default()
+            ..SwimConfig::default()
         };
-        tracing::info!(address = %me.address, name = %me.name, life = %me.life, "member starts");
-        let set = MemberSettings {
-            me,
+        tracing::info!(address = %me.address, name = %me.name, life = %me.incarnation, "member starts");
+        let set = MemberConfig {
+            local_id: me,
             keys,
             swim,
-            lease: m.lease_ms.get(),
+            lease_duration: m.lease_ms.get(),
             witnesses: m.witnesses.clone(),
             seed: fastrand::u64(..),
         };
         let counts = !m.witnesses.is_empty();
-        let out = Out::open(settings, clock.now(), set.me.address, set.me.life.token).map(Mutex::new);
+        let out = Out::open(settings, clock.now(), set.local_id.address, set.local_id.incarnation.token)
+            .map(Mutex::new);
         let member = Mutex::new(Member::new(clock.now(), set));
         Ok(Some((Arc::new(Fleet { clock, counts, member, out, gate: Gate::default() }), socket)))
     }
@@ -114,12 +116,12 @@
     /// How many fronts the decisions may reckon with now: `None` while there is no count in force. Outer `None`:
     /// without witnesses the settings' number holds.
     pub(crate) fn counted(&self) -> Option<Option<usize>> {
-        self.counts.then(|| self.member().part().and_then(|p| p.at(self.clock.now())))
+        self.counts.then(|| self.member().fleet_size().and_then(|p| p.valid_at(self.clock.now())))
     }
 
     /// The younger process of this front's name, where there is one.
     pub(crate) fn stepped_back(&self) -> Option<SocketAddr> {
-        self.member().stepped_back().map(|w| w.address)
+        self.member().replaced_by().map(|w| w.address)
     }
 
     /// All that it holds, sealed, for a member that asks.
@@ -128,32 +130,32 @@
     }
 
     /// What is to be sent, and what happened, by the log.
-    fn done(&self) -> Vec<Outgoing> {
+    fn done(&self) -> Vec<OutgoingDatagram> {
         let mut m = self.member();
-        for notice in m.take_notices() {
-            let name = &m.me().name;
+        for notice in m.take_events() {
+            let name = &m.local_id().name;
             match notice {
-                Notice::StoodStill(d) => {
+                MemberEvent::Stalled(d) => {
                     tracing::warn!(member = %name, ms = d.as_millis() as u64, "stood still: what was believed is doubted")
                 }
-                Notice::Risen(who) => {
-                    tracing::warn!(member = %name, life = %who.life, "was taken for gone: goes on as a new life")
+                MemberEvent::IncarnationRaised(who) => {
+                    tracing::warn!(member = %name, life = %who.incarnation, "was taken for gone: goes on as a new life")
                 }
-                Notice::StepBack(who) => tracing::error!(
-                    member = %name, address = %who.address, life = %who.life,
+                MemberEvent::Replaced(who) => tracing::error!(
+                    member = %name, address = %who.address, life = %who.incarnation,
                     "another, younger process bears this front's name: this one takes nothing new"
                 ),
             }
         }
-        m.take_out()
+        m.take_datagrams()
     }
 
     /// Somebody to ask for all that they hold: drawn among those that are there and have a side address.
     fn somebody(&self) -> Option<SocketAddr> {
         let m = self.member();
-        let me = m.me().address;
-        let there = m.view().members.values().filter(|s| s.sure == Sure::There && s.who.address != me);
-        fastrand::choice(there.filter_map(|s| s.who.side).collect::<Vec<_>>())
+        let me = m.local_id().address;
+        let there = m.view().members.values().filter(|s| s.state == MemberState::Alive && s.id.address != me);
+        fastrand::choice(there.filter_map(|s| s.id.side_address).collect::<Vec<_>>())
     }
 
     /// Asks a member for all that it holds.
@@ -178,7 +180,7 @@
     let target = Target::parse(format!("{PATH}?{NONCE}={nonce}").into())?;
     let mut head = RequestHead::get(target);
     head.headers.push("host", peer.to_string());
-    let (head, body) = conn.exchange(head, Bytes::new(), MOST_BODY).await.ok()?;
+    let (head, body) = conn.exchange(head, Bytes::new(), MAX_BODY_BYTES).await.ok()?;
     (head.status == 200).then_some(body)
 }
 
@@ -187,11 +189,11 @@
     let clock = fleet.clock;
     let mut next_sync = clock.now() + fleet.sync_every(every).mul_f64(fastrand::f64());
     // One byte more than any may have: a longer one is seen to be too long.
-    let mut buf = [0; MOST_DATAGRAM + 1];
+    let mut buf = [0; MAX_DATAGRAM_BYTES + 1];
     let mut asking = std::pin::pin!(None);
     loop {
         fleet.turn();
-        for Outgoing { to, bytes } in fleet.done() {
+        for OutgoingDatagram { to, bytes } in fleet.done() {
             // A full socket buffer or a peer that refuses loses it, as the network may.
             let _ = socket.try_send_to(&bytes, to);
         }
@@ -201,7 +203,7 @@
             () = fleet.gate.turn.notified() => {}
             got = socket.recv_from(&mut buf) => {
                 if let Ok((n, from)) = got {
-                    if let Err(why) = fleet.step(|m| m.datagram(clock.now(), &buf[..n])) {
+                    if let Err(why) = fleet.step(|m| m.handle_datagram(clock.now(), &buf[..n])) {
                         tracing::debug!(%from, error = %why, "a datagram is not taken");
                     }
                 }
@@ -222,7 +224,7 @@
         }
     }
     fleet.member().leave(clock.now());
-    for Outgoing { to, bytes } in fleet.done() {
+    for OutgoingDatagram { to, bytes } in fleet.done() {
         let _ = socket.try_send_to(&bytes, to);
     }
 }
--- a/crates/front/src/members/permits.rs
+++ b/crates/front/src/members/permits.rs
@@ -19,14 +19,14 @@
     pub(super) fn turn(&self) {
         let mut m = self.member();
         // Where permits are off they are dropped.
-        let words = m.take_other();
+        let words = m.take_application_messages();
         let Some(mut out) = self.out() else { return };
         let now = self.clock.now();
         out.look(now, m.view());
         words.iter().for_each(|w| out.datagram(now, w));
         out.tick(now);
         for (to, word) in out.take_words(now) {
-            let said = postcard::to_stdvec(&word).is_ok_and(|bytes| m.say_other(to, bytes));
+            let said = postcard::to_stdvec(&word).is_ok_and(|bytes| m.send_application_message(to, bytes));
             if !said {
                 tracing::error!(%to, "a word on permits does not fit into a datagram");
             }
--- a/crates/front/src/out/kept.rs
+++ b/crates/front/src/out/kept.rs
@@ -9,7 +9,7 @@
 use crate::clock::boot;
 use cloverhollow_out::{Acceptor, PersistedState};
 use cloverhollow_settings::{FrontSettings, Outlives};
-use cloverhollow_store::beside;
+use cloverhollow_store::sibling_path;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -43,7 +43,7 @@
 
 impl LeafFile {
     pub(super) fn of(settings: &FrontSettings) -> Option<LeafFile> {
-        let path = beside(settings.keep.file.as_deref()?, ".out");
+        let path = sibling_path(settings.keep.file.as_deref()?, ".out");
         Some(LeafFile { path, sync: settings.keep.outlives == Outlives::Machine })
     }
 
@@ -71,7 +71,7 @@
 
     /// Writes it whole, beside and then in its place.
     pub(super) fn write(&self, leaf: &Leaf) -> std::io::Result<()> {
-        let new = beside(&self.path, ".new");
+        let new = sibling_path(&self.path, ".new");
         let mut file = std::fs::File::create(&new)?;
         file.write_all(&serde_json::to_vec(leaf)?)?;
         if self.sync {
--- a/crates/front/src/out/mod.rs
+++ b/crates/front/src/out/mod.rs
@@ -13,7 +13,7 @@
 pub use leave::LeaveOutcome;
 pub(crate) use leave::{comes_back, keep, Gate};
 
-use cloverhollow_members::View;
+use cloverhollow_members::MembershipView;
 use cloverhollow_out::{
     Acceptor, FleetView, GrantContext, GrantedLease, InvariantViolation, Limits, MaxOutOfService, Message,
     Place, Proposer, ProposerConfig, Register, Subject, Term,
@@ -166,11 +166,11 @@
     }
 
     /// Looks at the fleet.
-    pub(crate) fn look(&mut self, now: Duration, view: &View) {
-        if self.looked.is_some_and(|(number, at)| number == view.number && now < at + LOOK) {
+    pub(crate) fn look(&mut self, now: Duration, view: &MembershipView) {
+        if self.looked.is_some_and(|(number, at)| number == view.version && now < at + LOOK) {
             return;
         }
-        self.looked = Some((view.number, now));
+        self.looked = Some((view.version, now));
         if self.listed && world::sees_witnesses(view, &self.witnesses) {
             self.sure_at = Some(now);
         }
--- a/crates/front/src/out/page.rs
+++ b/crates/front/src/out/page.rs
@@ -1,18 +1,18 @@
 //! What operators see of permits.
 
 use super::{world, Out};
-use cloverhollow_members::View;
+use cloverhollow_members::MembershipView;
 use cloverhollow_out::{Availability, MemoryState};
 use serde_json::{json, Value};
 use std::time::Duration;
 
 impl Out {
     /// The register as last heard, who counts as out, and what this front is and wants.
-    pub(crate) fn page(&self, now: Duration, view: &View) -> Value {
+    pub(crate) fn page(&self, now: Duration, view: &MembershipView) -> Value {
         let ms = |d: Duration| d.as_millis() as u64;
         let name = |subject| {
-            let of = view.members.values().find(|s| world::subject(&s.who.name) == subject);
-            of.map_or_else(|| world::digits(subject), |s| s.who.name.to_string())
+            let of = view.members.values().find(|s| world::subject(&s.id.name) == subject);
+            of.map_or_else(|| world::digits(subject), |s| s.id.name.to_string())
         };
         let permits = self.register.iter().flat_map(|(_, r)| &r.permits).map(|p| {
             json!({"name": name(p.subject), "subject": world::digits(p.subject), "term": p.term.0,
--- a/crates/front/src/out/said.rs
+++ b/crates/front/src/out/said.rs
@@ -5,7 +5,7 @@
 //! answers. A front that never answers (permits are off there) counts as out.
 
 use super::{world, Out, MOST_ASKED, QUESTION};
-use cloverhollow_members::{Sure, View};
+use cloverhollow_members::{MemberState, MembershipView};
 use cloverhollow_out::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -42,12 +42,12 @@
     }
 
     /// Who is there and has not said that it takes viewers.
-    pub(super) fn meet(&mut self, view: &View) {
-        let there = |a: &SocketAddr| view.members.get(a).filter(|s| s.sure == Sure::There);
-        self.ready.retain(|a, life| there(a).is_some_and(|s| s.who.life.token == *life));
-        let all = view.members.values().filter(|s| s.sure == Sure::There && s.who.address != self.me);
+    pub(super) fn meet(&mut self, view: &MembershipView) {
+        let there = |a: &SocketAddr| view.members.get(a).filter(|s| s.state == MemberState::Alive);
+        self.ready.retain(|a, life| there(a).is_some_and(|s| s.id.incarnation.token == *life));
+        let all = view.members.values().filter(|s| s.state == MemberState::Alive && s.id.address != self.me);
         let strange = all.filter(|s| !world::is_ready(&self.ready, s));
-        self.strangers = strange.map(|s| (s.who.address, s.who.life.token)).collect();
+        self.strangers = strange.map(|s| (s.id.address, s.id.incarnation.token)).collect();
     }
 
     /// Asks some of those, where it is to go.
--- a/crates/front/src/out/world.rs
+++ b/crates/front/src/out/world.rs
@@ -13,7 +13,7 @@
 //!   list. Where that member has just started too, both may not know of the dead one; the permits hold all the same.
 //! - A front that sees no majority of the witnesses as there is on the small side of a cut: its view is unsure.
 
-use cloverhollow_members::{Sure, View};
+use cloverhollow_members::{MemberState, MembershipView};
 use cloverhollow_out::{Availability, FleetView, MemberStatus, Place, Subject};
 use cloverhollow_settings::title_id;
 use std::collections::BTreeMap;
@@ -40,37 +40,38 @@
 }
 
 /// Whether a majority of the witnesses is there.
-pub(super) fn sees_witnesses(view: &View, witnesses: &[SocketAddr]) -> bool {
-    let there = |w: &&SocketAddr| view.members.get(w).is_some_and(|s| s.sure == Sure::There);
+pub(super) fn sees_witnesses(view: &MembershipView, witnesses: &[SocketAddr]) -> bool {
+    let there = |w: &&SocketAddr| view.members.get(w).is_some_and(|s| s.state == MemberState::Alive);
     witnesses.iter().filter(there).count() > witnesses.len() / 2
 }
 
 /// Whether that very life said that it takes viewers.
-pub(super) fn is_ready(ready: &BTreeMap<SocketAddr, u64>, seen: &cloverhollow_members::Seen) -> bool {
-    ready.get(&seen.who.address) == Some(&seen.who.life.token)
+pub(super) fn is_ready(ready: &BTreeMap<SocketAddr, u64>, seen: &cloverhollow_members::KnownMember) -> bool {
+    ready.get(&seen.id.address) == Some(&seen.id.incarnation.token)
 }
 
 /// The fleet, each front by its youngest life.
 pub(super) fn world(
     now: Duration,
-    view: &View,
+    view: &MembershipView,
     ready: &BTreeMap<SocketAddr, u64>,
     forget: Duration,
     unsure_for: Duration,
 ) -> FleetView {
     let mut youngest = BTreeMap::new();
     for seen in view.members.values() {
-        let of = youngest.entry(subject(&seen.who.name)).or_insert(seen);
-        if of.who.life < seen.who.life {
+        let of = youngest.entry(subject(&seen.id.name)).or_insert(seen);
+        if of.id.incarnation < seen.id.incarnation {
             *of = seen;
         }
     }
-    let counts = |s: &&cloverhollow_members::Seen| s.sure != Sure::Gone || now < s.since + forget;
+    let counts =
+        |s: &&cloverhollow_members::KnownMember| s.state != MemberState::Down || now < s.since + forget;
     let all = youngest.into_iter().filter(|(_, s)| counts(s));
-    let known = |s: &cloverhollow_members::Seen| MemberStatus {
-        place: place(&s.who.hall),
-        availability: match s.sure {
-            Sure::There if !is_ready(ready, s) => Availability::OutOfService,
+    let known = |s: &cloverhollow_members::KnownMember| MemberStatus {
+        place: place(&s.id.zone),
+        availability: match s.state {
+            MemberState::Alive if !is_ready(ready, s) => Availability::OutOfService,
             sure => Availability::from(sure),
         },
         link_kbit_s: 0,
--- a/crates/front/src/save.rs
+++ b/crates/front/src/save.rs
@@ -9,7 +9,7 @@
 use cloverhollow_knowledge::Level;
 use cloverhollow_session::{ListUpdate, SavedList, SnapshotCell};
 use cloverhollow_settings::FrontSettings;
-use cloverhollow_store::{Keep, Kept};
+use cloverhollow_store::{PersistedState, Store};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -25,7 +25,7 @@
 /// What was kept, as far as it can be trusted, and the store to go on with.
 #[derive(Default)]
 pub(crate) struct Loaded {
-    pub(crate) keep: Option<Keep>,
+    pub(crate) keep: Option<Store>,
     /// The store was there already: this front ran before.
     pub(crate) was_there: bool,
     pub(crate) list: Option<ListUpdate>,
@@ -39,17 +39,17 @@
     let read = spawn_blocking(move || {
         let file = path.display().to_string();
         let was_there = path.exists();
-        let opened = match Keep::open(&path) {
+        let opened = match Store::open(&path) {
             Ok(opened) => opened,
             Err(error) => {
                 tracing::warn!(file, %error, "nothing can be kept");
                 return Loaded { was_there, ..Loaded::default() };
             }
         };
-        if let Some(aside) = opened.set_aside {
+        if let Some(aside) = opened.quarantined {
             tracing::warn!(file, aside = %aside.display(), "what was kept cannot be trusted; set aside");
         }
-        let kept = opened.kept.unwrap_or_default();
+        let kept = opened.state.unwrap_or_default();
         let list = std::str::from_utf8(&kept.list).ok().filter(|t| !t.is_empty());
         let list = list.and_then(|text| match SavedList::read(text) {
             Ok(saved) => Some(saved.into_update(cold)),
@@ -59,7 +59,7 @@
             }
         });
         let knowledge = Message::decode(&kept.knowledge).ok().map(Box::new);
-        Loaded { keep: Some(opened.keep), was_there, list, knowledge }
+        Loaded { keep: Some(opened.store), was_there, list, knowledge }
     });
     read.await.unwrap_or_default()
 }
@@ -68,7 +68,7 @@
 pub(crate) fn spawn(
     tasks: &TaskTracker,
     settings: &FrontSettings,
-    keep: Option<Keep>,
+    keep: Option<Store>,
     shelf: Arc<SnapshotCell>,
     clock: Clock,
     stop: &CancellationToken,
@@ -91,12 +91,12 @@
             if let Some(list) = list.filter(|_| new_list || view.seq() != seq) {
                 seq = view.seq();
                 let message = view.message(clock.now(), 0, None, Level::Cold, Vec::new());
-                let kept = Kept {
+                let kept = PersistedState {
                     list: serde_json::to_vec(&list).unwrap_or_default(),
                     knowledge: message.encode().unwrap_or_default(),
                 };
                 let keep = keep.clone();
-                if let Ok(Err(error)) = spawn_blocking(move || keep.put(&kept)).await {
+                if let Ok(Err(error)) = spawn_blocking(move || keep.save(&kept)).await {
                     tracing::warn!(%error, "list and knowledge not kept");
                 }
             }
--- a/crates/members/src/broken.rs
+++ b/crates/members/src/invariants.rs
@@ -1,18 +1,18 @@
 //! Invariants of members, by name.
 
-use crate::who::Life;
+use crate::identity::Incarnation;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// An invariant that is broken, and by whom.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)] // the messages say it
-pub enum Broken {
+pub enum InvariantViolation {
     #[error("view: its number fell from {before} to {now}")]
     ViewFell { before: u64, now: u64 },
     #[error("view: {known} members, {most} may be known")]
     Known { known: usize, most: usize },
-    #[error("view: this member, {address}, is not in it as there, in its present life")]
+    #[error("view: this member, {address}, is not in it as there, in its present incarnation")]
     NotThere { address: SocketAddr },
     #[error("view: it holds {who} under the address {address}")]
     Address { address: SocketAddr, who: SocketAddr },
@@ -20,9 +20,9 @@
     Since { address: SocketAddr, since: Duration, now: Duration },
     #[error("view: {heard} were heard, {most} may be")]
     Heard { heard: usize, most: usize },
-    #[error("life: it fell from {before} to {now}")]
-    LifeFell { before: Life, now: Life },
-    #[error("life: it rises by nothing")]
+    #[error("incarnation: it fell from {before} to {now}")]
+    LifeFell { before: Incarnation, now: Incarnation },
+    #[error("incarnation: it rises by nothing")]
     NoRise,
     #[error("names: steps back for {address}, which does not bear this one's name or is this one")]
     StepsBack { address: SocketAddr },
@@ -63,7 +63,10 @@
 }
 
 /// Nothing, or what is broken.
-pub(crate) fn hold(holds: bool, broken: impl FnOnce() -> Broken) -> Result<(), Broken> {
+pub(crate) fn hold(
+    holds: bool,
+    broken: impl FnOnce() -> InvariantViolation,
+) -> Result<(), InvariantViolation> {
     if holds {
         Ok(())
     } else {
--- a/crates/members/src/heads.rs
+++ b/crates/members/src/lease_count.rs
@@ -3,7 +3,7 @@
 //! Why one over the count sums to no more than one over all fronts is in `docs/fleet.md`, 'Why the sum holds';
 //! `tests/model.rs` looks at all interleavings of a small fleet.
 
-use crate::broken::{hold, Broken};
+use crate::invariants::{hold, InvariantViolation};
 use crate::words::{Counted, Renew};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,25 +18,25 @@
 
 /// A front's part of what the fleet may do: one over the count, within these times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Part {
+pub struct FleetSize {
     /// How many fronts there are at the most.
     pub count: usize,
     /// It holds from then on...
-    pub from: Duration,
+    pub valid_from: Duration,
     /// ...until then.
-    pub until: Duration,
+    pub valid_until: Duration,
 }
 
-impl Part {
+impl FleetSize {
     /// The count, where it holds at that time. To be asked at the time of use: whoever stood still holds nothing.
-    pub fn at(&self, now: Duration) -> Option<usize> {
-        (self.from <= now && now < self.until).then_some(self.count.max(1))
+    pub fn valid_at(&self, now: Duration) -> Option<usize> {
+        (self.valid_from <= now && now < self.valid_until).then_some(self.count.max(1))
     }
 }
 
 /// A member's side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Heads {
+pub struct LeaseCount {
     me: SocketAddr,
     holder: u64,
     lease: Duration,
@@ -44,11 +44,11 @@
     round: u64,
     begun: Duration,
     answers: BTreeMap<SocketAddr, Counted>,
-    part: Option<Part>,
+    part: Option<FleetSize>,
     next: Duration,
 }
 
-impl Heads {
+impl LeaseCount {
     /// `me`: where answers go; `holder`: drawn at the process's start. Without witnesses there is never a part.
     pub fn new(
         now: Duration,
@@ -56,9 +56,9 @@
         holder: u64,
         lease: Duration,
         witnesses: Vec<SocketAddr>,
-    ) -> Heads {
+    ) -> LeaseCount {
         let answers = BTreeMap::new();
-        Heads { me, holder, lease, witnesses, round: 0, begun: now, answers, part: None, next: now }
+        LeaseCount { me, holder, lease, witnesses, round: 0, begun: now, answers, part: None, next: now }
     }
 
     /// How long witnesses keep a renewal, and a newcomer waits before it takes a part.
@@ -96,9 +96,10 @@
         }
         // The lease runs from before the first question went out.
         let until = self.begun + self.lease;
-        let without_gap = self.part.filter(|p| now < p.until);
-        let from = without_gap.map_or(now + Heads::hold(self.lease), |p| p.from);
-        self.part = Some(Part { count: union(self.answers.values()), from, until });
+        let without_gap = self.part.filter(|p| now < p.valid_until);
+        let from = without_gap.map_or(now + LeaseCount::hold(self.lease), |p| p.valid_from);
+        self.part =
+            Some(FleetSize { count: union(self.answers.values()), valid_from: from, valid_until: until });
     }
 
     /// Whether all that holds between two steps holds: only answers that count are kept, and a part that was taken in
@@ -106,24 +107,24 @@
     ///
     /// # Errors
     /// The first invariant that is broken.
-    pub fn check(&self) -> Result<(), Broken> {
+    pub fn check(&self) -> Result<(), InvariantViolation> {
         let (answers, witnesses) = (self.answers.len(), self.witnesses.len());
         let majority = witnesses / 2 + 1;
-        hold(answers <= majority, || Broken::Answers { answers, majority })?;
+        hold(answers <= majority, || InvariantViolation::Answers { answers, majority })?;
         for (witness, c) in &self.answers {
             let counts = c.round == self.round && !c.blind && self.witnesses.contains(witness);
-            hold(counts && c.witness == *witness, || Broken::Answer { witness: *witness })?;
+            hold(counts && c.witness == *witness, || InvariantViolation::Answer { witness: *witness })?;
         }
         let (next, begun) = (self.next, self.begun);
         let paced = next <= begun + self.lease / ROUNDS;
-        hold(paced, || Broken::Round { next, begun })?;
-        let Some(Part { count, until, .. }) = self.part else { return Ok(()) };
-        hold(until <= begun + self.lease, || Broken::Lease { count, until, begun })?;
+        hold(paced, || InvariantViolation::Round { next, begun })?;
+        let Some(FleetSize { count, valid_until: until, .. }) = self.part else { return Ok(()) };
+        hold(until <= begun + self.lease, || InvariantViolation::Lease { count, until, begun })?;
         if until == begun + self.lease {
             // Taken in this round. More than half of the witnesses vouch for it.
-            hold(2 * answers > witnesses, || Broken::Majority { count, answers, witnesses })?;
+            hold(2 * answers > witnesses, || InvariantViolation::Majority { count, answers, witnesses })?;
             let union = union(self.answers.values());
-            hold(count == union, || Broken::Count { count, union })?;
+            hold(count == union, || InvariantViolation::Count { count, union })?;
         }
         Ok(())
     }
@@ -135,16 +136,20 @@
 
     /// Whether a part that came after `before` waited as it has to: one without a gap goes on, any other one is a
     /// newcomer's and holds only after the hold.
-    pub(crate) fn check_waited(&self, before: Option<Part>, now: Duration) -> Result<(), Broken> {
+    pub(crate) fn check_waited(
+        &self,
+        before: Option<FleetSize>,
+        now: Duration,
+    ) -> Result<(), InvariantViolation> {
         let Some(part) = self.part.filter(|p| Some(*p) != before) else { return Ok(()) };
-        let went_on = before.is_some_and(|b| now < b.until && b.from == part.from);
-        let waits = part.from >= now + Heads::hold(self.lease);
-        let until = before.map_or(Duration::ZERO, |b| b.until);
-        hold(went_on || waits, || Broken::Newcomer { from: part.from, until })
+        let went_on = before.is_some_and(|b| now < b.valid_until && b.valid_from == part.valid_from);
+        let waits = part.valid_from >= now + LeaseCount::hold(self.lease);
+        let until = before.map_or(Duration::ZERO, |b| b.valid_until);
+        hold(went_on || waits, || InvariantViolation::Newcomer { from: part.valid_from, until })
     }
 
-    /// The part as it stands; to be asked by [`Part::at`] at the time of use.
-    pub fn part(&self) -> Option<Part> {
+    /// The part as it stands; to be asked by [`FleetSize::at`] at the time of use.
+    pub fn fleet_size(&self) -> Option<FleetSize> {
         self.part
     }
 }
--- a/crates/members/src/member/check.rs
+++ b/crates/members/src/member/check.rs
@@ -1,8 +1,8 @@
 //! What holds of a member between any two steps.
 
 use super::Member;
-use crate::broken::{hold, Broken};
-use crate::heads::Part;
+use crate::invariants::{hold, InvariantViolation};
+use crate::lease_count::FleetSize;
 use std::time::Duration;
 
 /// How it stood before the last step: what never falls is compared with it.
@@ -10,7 +10,7 @@
 pub(super) struct Marks {
     now: Duration,
     round: u64,
-    part: Option<Part>,
+    part: Option<FleetSize>,
     sealed: u64,
 }
 
@@ -21,28 +21,28 @@
 
     /// Before a step.
     pub(super) fn mark(&mut self, now: Duration) {
-        let (round, part, sealed) = (self.heads.round(), self.heads.part(), self.sealed());
+        let (round, part, sealed) = (self.heads.round(), self.heads.fleet_size(), self.sealed());
         self.marks = Marks { now: now.max(self.marks.now), round, part, sealed };
     }
 
     /// Whether all that holds between two steps holds: of the view ([`Swim::check`](crate::Swim::check)), of the leases
-    /// ([`Heads::check`](crate::Heads::check), [`Witness::check`](crate::Witness::check)), and of the seals, whose numbers
+    /// ([`LeaseCount::check`](crate::LeaseCount::check), [`Witness::check`](crate::Witness::check)), and of the seals, whose numbers
     /// only rise. The time it takes grows as the number of members, of holders and of senders.
     ///
     /// # Errors
     /// The first invariant that is broken.
-    pub fn check(&self) -> Result<(), Broken> {
+    pub fn check(&self) -> Result<(), InvariantViolation> {
         self.swim.check()?;
         self.heads.check()?;
         self.witness.as_ref().map_or(Ok(()), |w| w.check())?;
         self.keys.check()?;
         let Marks { now, round, part, sealed } = self.marks;
         let rounds = self.heads.round();
-        hold(rounds >= round, || Broken::RoundFell { before: round, now: rounds })?;
+        hold(rounds >= round, || InvariantViolation::RoundFell { before: round, now: rounds })?;
         self.heads.check_waited(part, now)?;
-        let (number, sent) = (self.sealed(), self.status.sent);
+        let (number, sent) = (self.sealed(), self.stats.sent);
         // Each datagram has a number of its own, and each body over a connection.
         let own = number >= sealed && number >= sent;
-        hold(own, || Broken::Sealed { before: sealed, now: number, sent })
+        hold(own, || InvariantViolation::Sealed { before: sealed, now: number, sent })
     }
 }
--- a/crates/members/src/member/mod.rs
+++ b/crates/members/src/member/mod.rs
@@ -4,14 +4,14 @@
 mod other;
 mod told;
 
-pub use other::MOST_OTHER;
-pub use told::{MemberSettings, Notice, Outgoing, Status};
-
-use crate::heads::{Heads, Part};
-use crate::seal::{Keys, Refused, Sealer};
-use crate::swim::{Record, Swim};
-use crate::view::View;
-use crate::who::{Life, Who};
+pub use other::MAX_QUEUED_APPLICATION_MESSAGES;
+pub use told::{MemberConfig, MemberEvent, MemberStats, OutgoingDatagram};
+
+use crate::identity::{Incarnation, MemberId};
+use crate::lease_count::{FleetSize, LeaseCount};
+use crate::seal::{Keys, ReceiveError, Sealer};
+use crate::swim::{MemberRecord, Swim};
+use crate::view::MembershipView;
 use crate::witness::Witness;
 use crate::words::Word;
 use check::Marks;
@@ -24,29 +24,29 @@
     keys: Keys,
     sealer: Option<Sealer>,
     swim: Swim,
-    heads: Heads,
+    heads: LeaseCount,
     witness: Option<Witness>,
-    out: Vec<Outgoing>,
-    notices: Vec<Notice>,
-    status: Status,
+    out: Vec<OutgoingDatagram>,
+    notices: Vec<MemberEvent>,
+    stats: MemberStats,
     marks: Marks,
     other: Vec<Vec<u8>>,
 }
 
 impl Member {
     /// A member that starts now.
-    pub fn new(now: Duration, set: MemberSettings) -> Member {
-        let (me, holder) = (set.me.address, set.me.life.token);
-        let is_witness = set.witnesses.contains(&set.me.address);
+    pub fn new(now: Duration, set: MemberConfig) -> Member {
+        let (me, holder) = (set.local_id.address, set.local_id.incarnation.token);
+        let is_witness = set.witnesses.contains(&set.local_id.address);
         Member {
             keys: Keys::new(&set.keys),
             sealer: set.keys.first().map(|key| Sealer::new(key.clone(), holder)),
-            swim: Swim::new(now, set.me, set.swim, set.seed),
-            heads: Heads::new(now, me, holder, set.lease, set.witnesses),
-            witness: is_witness.then(|| Witness::new(now, me, Heads::hold(set.lease))),
+            swim: Swim::new(now, set.local_id, set.swim, set.seed),
+            heads: LeaseCount::new(now, me, holder, set.lease_duration, set.witnesses),
+            witness: is_witness.then(|| Witness::new(now, me, LeaseCount::hold(set.lease_duration))),
             out: Vec::new(),
             notices: Vec::new(),
-            status: Status::default(),
+            stats: MemberStats::default(),
             marks: Marks::default(),
             other: Vec::new(),
         }
@@ -56,22 +56,22 @@
     ///
     /// # Errors
     /// It was not taken, and changed nothing.
-    pub fn datagram(&mut self, now: Duration, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
         self.mark(now);
         let before = self.standing();
         let taken = self.take(now, bytes);
         match taken {
-            Ok(()) => self.status.taken += 1,
-            Err(why) => *self.status.refused.entry(why).or_default() += 1,
+            Ok(()) => self.stats.received += 1,
+            Err(why) => *self.stats.rejected.entry(why).or_default() += 1,
         }
         self.tell(before);
         self.flush();
         taken
     }
 
-    fn take(&mut self, now: Duration, bytes: &[u8]) -> Result<(), Refused> {
+    fn take(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
         let (_, payload) = self.keys.open(bytes)?;
-        match postcard::from_bytes(payload).map_err(|_| Refused::Unreadable)? {
+        match postcard::from_bytes(payload).map_err(|_| ReceiveError::Malformed)? {
             Word::Swim(bytes) => self.swim.message(now, &bytes),
             Word::Renew(renew) => {
                 if let Some(counted) = self.witness.as_mut().map(|w| w.renew(now, renew)) {
@@ -92,10 +92,10 @@
         self.mark(now);
         let before = self.standing();
         if let Some(late) = self.swim.tick(now) {
-            self.notices.push(Notice::StoodStill(late));
+            self.notices.push(MemberEvent::Stalled(late));
         }
         if let Some((renew, witnesses)) = self.heads.due(now) {
-            let me = self.swim.me().address;
+            let me = self.swim.local_id().address;
             for to in witnesses {
                 match &mut self.witness {
                     Some(own) if to == me => {
@@ -111,16 +111,16 @@
     }
 
     /// What an operator hears of when it changes.
-    fn standing(&self) -> (Life, bool) {
-        (self.swim.me().life, self.swim.stepped_back().is_some())
+    fn standing(&self) -> (Incarnation, bool) {
+        (self.swim.local_id().incarnation, self.swim.replaced_by().is_some())
     }
 
-    fn tell(&mut self, (life, back): (Life, bool)) {
-        if self.swim.me().life != life {
-            self.notices.push(Notice::Risen(self.swim.me().clone()));
+    fn tell(&mut self, (incarnation, back): (Incarnation, bool)) {
+        if self.swim.local_id().incarnation != incarnation {
+            self.notices.push(MemberEvent::IncarnationRaised(self.swim.local_id().clone()));
         }
-        if let (Some(who), false) = (self.swim.stepped_back(), back) {
-            self.notices.push(Notice::StepBack(who.clone()));
+        if let (Some(who), false) = (self.swim.replaced_by(), back) {
+            self.notices.push(MemberEvent::Replaced(who.clone()));
         }
     }
 
@@ -146,13 +146,13 @@
     ///
     /// # Errors
     /// It was not taken, and changed nothing.
-    pub fn sync(&mut self, now: Duration, nonce: u64, body: &[u8]) -> Result<(), Refused> {
+    pub fn sync(&mut self, now: Duration, nonce: u64, body: &[u8]) -> Result<(), ReceiveError> {
         self.mark(now);
         let (_, payload) = self.keys.open_body(body)?;
         let (asked, records) =
-            postcard::from_bytes::<(u64, Vec<Record>)>(payload).map_err(|_| Refused::Unreadable)?;
+            postcard::from_bytes::<(u64, Vec<MemberRecord>)>(payload).map_err(|_| ReceiveError::Malformed)?;
         if asked != nonce {
-            return Err(Refused::Repeated);
+            return Err(ReceiveError::Replayed);
         }
         let before = self.standing();
         self.swim.sync(now, records);
@@ -162,33 +162,33 @@
     }
 
     /// Datagrams to be sent, since the last call.
-    pub fn take_out(&mut self) -> Vec<Outgoing> {
+    pub fn take_datagrams(&mut self) -> Vec<OutgoingDatagram> {
         std::mem::take(&mut self.out)
     }
 
     /// What happened, since the last call.
-    pub fn take_notices(&mut self) -> Vec<Notice> {
+    pub fn take_events(&mut self) -> Vec<MemberEvent> {
         std::mem::take(&mut self.notices)
     }
 
-    /// Who is thought to be there.
-    pub fn view(&self) -> &View {
+    /// MemberId is thought to be there.
+    pub fn view(&self) -> &MembershipView {
         self.swim.view()
     }
 
     /// This member.
-    pub fn me(&self) -> &Who {
-        self.swim.me()
+    pub fn local_id(&self) -> &MemberId {
+        self.swim.local_id()
     }
 
-    /// Who bears the same name, where this process is to step back.
-    pub fn stepped_back(&self) -> Option<&Who> {
-        self.swim.stepped_back()
+    /// MemberId bears the same name, where this process is to step back.
+    pub fn replaced_by(&self) -> Option<&MemberId> {
+        self.swim.replaced_by()
     }
 
-    /// The part, to be asked by [`Part::at`] at the time of use.
-    pub fn part(&self) -> Option<Part> {
-        self.heads.part()
+    /// The part, to be asked by [`FleetSize::at`] at the time of use.
+    pub fn fleet_size(&self) -> Option<FleetSize> {
+        self.heads.fleet_size()
     }
 
     /// The witness in this process, where it is one.
@@ -197,8 +197,8 @@
     }
 
     /// Figures since the start.
-    pub fn status(&self) -> &Status {
-        &self.status
+    pub fn stats(&self) -> &MemberStats {
+        &self.stats
     }
 
     fn flush(&mut self) {
@@ -210,8 +210,8 @@
     fn say(&mut self, to: SocketAddr, word: &Word) {
         let (Some(sealer), Ok(payload)) = (&mut self.sealer, postcard::to_stdvec(word)) else { return };
         let bytes = sealer.seal(&payload);
-        self.status.sent += 1;
-        self.status.sent_bytes += bytes.len() as u64;
-        self.out.push(Outgoing { to, bytes });
+        self.stats.sent += 1;
+        self.stats.sent_bytes += bytes.len() as u64;
+        self.out.push(OutgoingDatagram { to, bytes });
     }
 }
--- a/crates/members/src/member/told.rs
+++ b/crates/members/src/member/told.rs
@@ -1,23 +1,23 @@
 //! What a member is told at its start, and what it tells.
 
-use crate::seal::{Key, Refused};
-use crate::swim::SwimSettings;
-use crate::who::Who;
+use crate::identity::MemberId;
+use crate::seal::{Key, ReceiveError};
+use crate::swim::SwimConfig;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// What a member is told at its start.
 #[derive(Clone, Debug)]
-pub struct MemberSettings {
+pub struct MemberConfig {
     /// Itself.
-    pub me: Who,
+    pub local_id: MemberId,
     /// Keys that datagrams are taken under; the first one seals.
     pub keys: Vec<Key>,
     /// How the view is kept.
-    pub swim: SwimSettings,
+    pub swim: SwimConfig,
     /// How long a count holds.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Where the witnesses are; this member is one if its own address is among them.
     pub witnesses: Vec<SocketAddr>,
     /// Of random numbers.
@@ -26,7 +26,7 @@
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingDatagram {
     /// Where.
     pub to: SocketAddr,
     /// Sealed.
@@ -35,24 +35,24 @@
 
 /// What an operator should hear of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Notice {
+pub enum MemberEvent {
     /// The process stood still for so long; what it believed is doubted anew.
-    StoodStill(Duration),
-    /// The others held this life for gone: it goes on as this one.
-    Risen(Who),
+    Stalled(Duration),
+    /// The others held this incarnation for gone: it goes on as this one.
+    IncarnationRaised(MemberId),
     /// Another, younger process bears this one's name.
-    StepBack(Who),
+    Replaced(MemberId),
 }
 
 /// Figures since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Status {
+pub struct MemberStats {
     /// Datagrams taken.
-    pub taken: u64,
+    pub received: u64,
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Datagrams refused, by why.
-    pub refused: BTreeMap<Refused, u64>,
+    pub rejected: BTreeMap<ReceiveError, u64>,
 }
--- a/crates/members/src/seal.rs
+++ b/crates/members/src/seal.rs
@@ -1,17 +1,17 @@
 //! Datagrams that strangers can neither make nor repeat: a MAC by keys with ids, and a window for each sender.
 
-use crate::broken::{hold, Broken};
+use crate::invariants::{hold, InvariantViolation};
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
 /// Longest datagram, sealed: what passes unbroken on usual networks (RFC 8085, 3.2).
-pub const MOST_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Longest sealed body: all members that may be known, with the longest names.
-pub const MOST_BODY: usize = 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Most senders whose windows are kept; past them the one that was heard longest ago goes.
-pub const MOST_SOURCES: usize = 4_096;
+pub const MAX_SENDERS: usize = 4_096;
 
 const FORMAT: u8 = 1;
 const MAC: usize = 16;
@@ -40,28 +40,28 @@
 
 /// Why a datagram was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Refused {
+pub enum ReceiveError {
     /// Not one of these.
     #[error("not a datagram of this format")]
-    Format,
+    InvalidFormat,
     /// By a key that is not held here.
     #[error("unknown key")]
-    Key,
+    UnknownKey,
     /// Its MAC is wrong.
     #[error("wrong MAC")]
-    Mac,
+    InvalidMac,
     /// It came before, or too late to tell.
     #[error("repeated")]
-    Repeated,
+    Replayed,
     /// Its words cannot be read.
     #[error("unreadable")]
-    Unreadable,
+    Malformed,
     /// More members than may be known.
     #[error("too many members")]
-    TooMany,
+    TooManyMembers,
     /// More words of another crate than may wait.
     #[error("too many words wait")]
-    TooManyWords,
+    QueueFull,
 }
 
 /// The numbers heard of one sender (RFC 4303, 3.4.3).
@@ -69,7 +69,7 @@
 struct Window {
     highest: u64,
     /// Bit n: `highest - n` was heard.
-    heard: u128,
+    received: u128,
     /// When, by the count of datagrams taken.
     last: u64,
 }
@@ -78,14 +78,14 @@
     fn take(&mut self, number: u64) -> bool {
         if number > self.highest {
             let by = number - self.highest;
-            self.heard = if by >= WINDOW { 0 } else { self.heard << by };
-            (self.highest, self.heard) = (number, self.heard | 1);
+            self.received = if by >= WINDOW { 0 } else { self.received << by };
+            (self.highest, self.received) = (number, self.received | 1);
             return true;
         }
         let behind = self.highest - number;
         let bit = if behind < WINDOW { 1u128 << behind } else { return false };
-        let new = self.heard & bit == 0;
-        self.heard |= bit;
+        let new = self.received & bit == 0;
+        self.received |= bit;
         new
     }
 }
@@ -124,32 +124,32 @@
     ///
     /// # Errors
     /// It is a stranger's, or came before.
-    pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<(u64, &'a [u8]), Refused> {
-        self.open_up_to(datagram, MOST_DATAGRAM)
+    pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<(u64, &'a [u8]), ReceiveError> {
+        self.open_up_to(datagram, MAX_DATAGRAM_BYTES)
     }
 
     /// The same for what came as one body over a connection.
     ///
     /// # Errors
     /// As above.
-    pub fn open_body<'a>(&mut self, body: &'a [u8]) -> Result<(u64, &'a [u8]), Refused> {
-        self.open_up_to(body, MOST_BODY)
+    pub fn open_body<'a>(&mut self, body: &'a [u8]) -> Result<(u64, &'a [u8]), ReceiveError> {
+        self.open_up_to(body, MAX_BODY_BYTES)
     }
 
-    fn open_up_to<'a>(&mut self, datagram: &'a [u8], most: usize) -> Result<(u64, &'a [u8]), Refused> {
+    fn open_up_to<'a>(&mut self, datagram: &'a [u8], most: usize) -> Result<(u64, &'a [u8]), ReceiveError> {
         if datagram.len() < OVERHEAD || datagram.len() > most || datagram[0] != FORMAT {
-            return Err(Refused::Format);
+            return Err(ReceiveError::InvalidFormat);
         }
         let (head, rest) = datagram.split_at(HEAD);
         let (tag, payload) = rest.split_at(MAC);
         let number = |at: usize| u64::from_be_bytes(std::array::from_fn(|i| head[at + i]));
         let id = u32::from_be_bytes(std::array::from_fn(|i| head[1 + i]));
-        let key = self.keys.get(&id).ok_or(Refused::Key)?;
-        mac(key, head, payload).verify_truncated_left(tag).map_err(|_| Refused::Mac)?;
+        let key = self.keys.get(&id).ok_or(ReceiveError::UnknownKey)?;
+        mac(key, head, payload).verify_truncated_left(tag).map_err(|_| ReceiveError::InvalidMac)?;
         // Only what bears a good MAC makes or moves a window.
         let (source, number) = (number(5), number(13));
         self.taken += 1;
-        if !self.windows.contains_key(&source) && self.windows.len() >= MOST_SOURCES {
+        if !self.windows.contains_key(&source) && self.windows.len() >= MAX_SENDERS {
             let oldest = self.windows.iter().min_by_key(|(_, w)| w.last).map(|(s, _)| *s);
             oldest.and_then(|s| self.windows.remove(&s));
         }
@@ -158,17 +158,17 @@
         if window.take(number) {
             Ok((source, payload))
         } else {
-            Err(Refused::Repeated)
+            Err(ReceiveError::Replayed)
         }
     }
 
     /// Whether senders are bounded, and the window of each holds its highest number.
-    pub(crate) fn check(&self) -> Result<(), Broken> {
-        let (sources, most) = (self.windows.len(), MOST_SOURCES);
-        hold(sources <= most, || Broken::Sources { sources, most })?;
+    pub(crate) fn check(&self) -> Result<(), InvariantViolation> {
+        let (sources, most) = (self.windows.len(), MAX_SENDERS);
+        hold(sources <= most, || InvariantViolation::Sources { sources, most })?;
         let wrong =
-            self.windows.iter().find(|(_, w)| (w.highest > 0 && w.heard & 1 == 0) || w.last > self.taken);
-        wrong.map_or(Ok(()), |(s, w)| Err(Broken::Window { source_id: *s, highest: w.highest }))
+            self.windows.iter().find(|(_, w)| (w.highest > 0 && w.received & 1 == 0) || w.last > self.taken);
+        wrong.map_or(Ok(()), |(s, w)| Err(InvariantViolation::Window { source_id: *s, highest: w.highest }))
     }
 
     /// Senders that are remembered.
--- a/crates/members/src/swim/effects.rs
+++ b/crates/members/src/swim/effects.rs
@@ -1,6 +1,6 @@
 //! What the library wants done.
 
-use crate::who::Who;
+use crate::identity::MemberId;
 use foca::{Notification, Runtime, Timer};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 #[derive(Default)]
 pub(super) struct Effects {
     pub(super) sends: Vec<(SocketAddr, Vec<u8>)>,
-    pub(super) timers: Vec<(Duration, Timer<Who>)>,
+    pub(super) timers: Vec<(Duration, Timer<MemberId>)>,
     pub(super) changed: bool,
     pub(super) refused: bool,
 }
 
-impl Runtime<Who> for Effects {
-    fn notify(&mut self, notification: Notification<'_, Who>) {
+impl Runtime<MemberId> for Effects {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
         self.changed = true;
         self.refused |= matches!(notification, Notification::Defunct);
     }
 
-    fn send_to(&mut self, to: Who, data: &[u8]) {
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
         self.sends.push((to.address, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Who>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
         self.timers.push((after, event));
     }
 }
--- a/crates/members/src/swim/mod.rs
+++ b/crates/members/src/swim/mod.rs
@@ -1,6 +1,6 @@
 //! The view, kept by SWIM with suspicion and incarnations (Das, Gupta, Motivala 2002) as `foca` has it.
 //!
-//! What is ours: time-outs that wait for a process that stood still, seeds that are asked again, a life that rises
+//! What is ours: time-outs that wait for a process that stood still, seeds that are asked again, a incarnation that rises
 //! when it is refused, and the word to step back when another process bears the same name.
 
 mod check;
@@ -8,11 +8,11 @@
 mod look;
 mod settings;
 
-pub use settings::SwimSettings;
+pub use settings::SwimConfig;
 
-use crate::seal::Refused;
-use crate::view::{Sure, View};
-use crate::who::Who;
+use crate::identity::MemberId;
+use crate::seal::ReceiveError;
+use crate::view::{MemberState, MembershipView};
 use check::Marks;
 use effects::Effects;
 use foca::{Foca, Header, NoCustomBroadcast, PostcardCodec, State, Timer};
@@ -25,40 +25,40 @@
 use std::time::Duration;
 
 /// Most members known, those that are gone included; strangers past them are not heard, past twice as many nobody.
-pub const MOST_MEMBERS: usize = 4_096;
+pub const MAX_MEMBERS: usize = 4_096;
 
 /// What one member holds of another, as it is told over the side address where datagrams might not tell it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Record(foca::Member<Who>);
+pub struct MemberRecord(foca::Member<MemberId>);
 
 /// One member's view of the others.
 pub struct Swim {
-    set: SwimSettings,
-    foca: Foca<Who, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
+    set: SwimConfig,
+    foca: Foca<MemberId, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
     effects: Effects,
     /// By when they are due, and a number that keeps those of one instant in order.
-    timers: BTreeMap<(Duration, u64), Timer<Who>>,
+    timers: BTreeMap<(Duration, u64), Timer<MemberId>>,
     timer: u64,
-    view: View,
-    heard: BTreeMap<SocketAddr, Duration>,
+    view: MembershipView,
+    last_received: BTreeMap<SocketAddr, Duration>,
     next_call: Duration,
     risen: Option<Duration>,
     rise: u64,
-    stepped_back: Option<Who>,
+    replaced_by: Option<MemberId>,
     left: bool,
     marks: Option<Marks>,
 }
 
 impl std::fmt::Debug for Swim {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Swim").field("me", self.foca.identity()).field("view", &self.view.number).finish()
+        f.debug_struct("Swim").field("me", self.foca.identity()).field("view", &self.view.version).finish()
     }
 }
 
 impl Swim {
     /// A member that knows nobody yet and calls on the seeds at once.
-    pub fn new(now: Duration, me: Who, set: SwimSettings, seed: u64) -> Swim {
+    pub fn new(now: Duration, me: MemberId, set: SwimConfig, seed: u64) -> Swim {
         let foca = Foca::new(me, config(&set), ChaCha8Rng::seed_from_u64(seed), PostcardCodec);
         let mut swim = Swim {
             set,
@@ -66,12 +66,12 @@
             effects: Effects::default(),
             timers: BTreeMap::new(),
             timer: 0,
-            view: View::default(),
-            heard: BTreeMap::new(),
+            view: MembershipView::default(),
+            last_received: BTreeMap::new(),
             next_call: now,
             risen: None,
             rise: 1,
-            stepped_back: None,
+            replaced_by: None,
             left: false,
             marks: None,
         };
@@ -79,19 +79,19 @@
         swim
     }
 
-    /// This member, in its present life.
-    pub fn me(&self) -> &Who {
+    /// This member, in its present incarnation.
+    pub fn local_id(&self) -> &MemberId {
         self.foca.identity()
     }
 
-    /// Who is thought to be there.
-    pub fn view(&self) -> &View {
+    /// MemberId is thought to be there.
+    pub fn view(&self) -> &MembershipView {
         &self.view
     }
 
-    /// Who bears the same name and is the younger process: this one is to take nothing new.
-    pub fn stepped_back(&self) -> Option<&Who> {
-        self.stepped_back.as_ref()
+    /// MemberId bears the same name and is the younger process: this one is to take nothing new.
+    pub fn replaced_by(&self) -> Option<&MemberId> {
+        self.replaced_by.as_ref()
     }
 
     /// What is to be sent, since the last call.
@@ -109,30 +109,31 @@
     ///
     /// # Errors
     /// It can't be read, or is a stranger's too many.
-    pub fn message(&mut self, now: Duration, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn message(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
         self.mark(now);
-        let (header, _) = postcard::take_from_bytes::<Header<Who>>(bytes).map_err(|_| Refused::Unreadable)?;
+        let (header, _) =
+            postcard::take_from_bytes::<Header<MemberId>>(bytes).map_err(|_| ReceiveError::Malformed)?;
         if !header.src.bounded() || !header.dst.bounded() {
-            return Err(Refused::Unreadable);
+            return Err(ReceiveError::Malformed);
         }
         let known = self.foca.iter_membership_state().len();
         let stranger = !self.view.members.contains_key(&header.src.address);
-        if known >= 2 * MOST_MEMBERS || (known >= MOST_MEMBERS && stranger) {
-            return Err(Refused::TooMany);
+        if known >= 2 * MAX_MEMBERS || (known >= MAX_MEMBERS && stranger) {
+            return Err(ReceiveError::TooManyMembers);
         }
         if self.left {
             return Ok(());
         }
         let (source, seen) = (header.src.address, self.view.members.get(&header.src.address));
-        if seen.is_none_or(|s| s.who.life <= header.src.life) {
-            self.heard.insert(source, now);
+        if seen.is_none_or(|s| s.id.incarnation <= header.src.incarnation) {
+            self.last_received.insert(source, now);
         }
         let read = self.foca.handle_data(bytes, &mut self.effects);
         self.settle(now);
-        // Its own word come back by a wire that doubles, or one for another life of this address, changes nothing.
+        // Its own word come back by a wire that doubles, or one for another incarnation of this address, changes nothing.
         match read {
             Ok(()) | Err(foca::Error::DataFromOurselves) => Ok(()),
-            Err(_) => Err(Refused::Unreadable),
+            Err(_) => Err(ReceiveError::Malformed),
         }
     }
 
@@ -141,7 +142,7 @@
     pub fn tick(&mut self, now: Duration) -> Option<Duration> {
         self.mark(now);
         let late = now.saturating_sub(self.next_due());
-        let stood = (late > self.set.suspicion / 2).then_some(late);
+        let stood = (late > self.set.suspicion_timeout / 2).then_some(late);
         if let Some(late) = stood {
             // What came meanwhile waits at the socket, objections among it: every time-out waits as much longer.
             let timers = std::mem::take(&mut self.timers);
@@ -154,7 +155,7 @@
             self.settle(now);
         }
         if now >= self.next_call {
-            self.next_call = now + self.set.heal;
+            self.next_call = now + self.set.rejoin_interval;
             self.call();
         }
         self.settle(now);
@@ -167,12 +168,12 @@
         if self.left {
             return;
         }
-        let there = |a: &SocketAddr| self.view.members.get(a).is_some_and(|s| s.sure != Sure::Gone);
+        let there = |a: &SocketAddr| self.view.members.get(a).is_some_and(|s| s.state != MemberState::Down);
         let seeds: Vec<_> = self.set.seeds.iter().copied().filter(|s| !there(s)).collect();
-        for seed in seeds.into_iter().filter(|s| *s != self.me().address).collect::<Vec<_>>() {
-            let _ = self.foca.announce(Who::seed(seed), &mut self.effects);
+        for seed in seeds.into_iter().filter(|s| *s != self.local_id().address).collect::<Vec<_>>() {
+            let _ = self.foca.announce(MemberId::seed(seed), &mut self.effects);
         }
-        let namesakes: Vec<_> = self.namesakes().map(|s| s.who.clone()).collect();
+        let namesakes: Vec<_> = self.namesakes().map(|s| s.id.clone()).collect();
         for who in namesakes {
             let _ = self.foca.announce(who, &mut self.effects);
         }
@@ -187,24 +188,24 @@
     }
 
     /// All that is held, for another member.
-    pub fn records(&self) -> Vec<Record> {
-        let me = foca::Member::alive(self.me().clone());
-        self.foca.iter_membership_state().cloned().chain([me]).take(MOST_MEMBERS).map(Record).collect()
+    pub fn records(&self) -> Vec<MemberRecord> {
+        let me = foca::Member::alive(self.local_id().clone());
+        self.foca.iter_membership_state().cloned().chain([me]).take(MAX_MEMBERS).map(MemberRecord).collect()
     }
 
     /// What another member holds, asked for over the side address. Those in doubt there are not doubted here:
     /// they are probed in their turn. A doubt of this member itself is taken, and objected to. Guards one that is
     /// doubted by all for ever: its doubt was passed on to all but itself, who answers each probe, and whoever was to
     /// take it for gone has died or risen meanwhile.
-    pub fn sync(&mut self, now: Duration, records: Vec<Record>) {
+    pub fn sync(&mut self, now: Duration, records: Vec<MemberRecord>) {
         self.mark(now);
-        let room = MOST_MEMBERS.saturating_sub(self.foca.iter_membership_state().len());
+        let room = MAX_MEMBERS.saturating_sub(self.foca.iter_membership_state().len());
         let view = &self.view;
-        let known = |r: &Record| view.members.contains_key(&r.0.id().address);
+        let known = |r: &MemberRecord| view.members.contains_key(&r.0.id().address);
         let (old, new): (Vec<_>, Vec<_>) =
             records.into_iter().filter(|r| r.0.id().bounded()).partition(known);
         let all = old.into_iter().chain(new.into_iter().take(room));
-        let me = self.me().clone();
+        let me = self.local_id().clone();
         let sure = all.map(|r| r.0).filter(|m| m.state() != State::Suspect || *m.id() == me);
         let _ = self.foca.apply_many(sure, true, &mut self.effects);
         self.settle(now);
--- a/crates/members/src/view.rs
+++ b/crates/members/src/view.rs
@@ -1,6 +1,6 @@
-//! Who is thought to be there.
+//! MemberId is thought to be there.
 
-use crate::who::Who;
+use crate::identity::MemberId;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,47 +9,50 @@
 /// How sure it is that a member is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sure {
-    /// It answers somebody.
-    There,
-    /// It did not answer of late, and may object.
-    Doubted,
-    /// Taken for gone.
-    Gone,
+pub enum MemberState {
+    /// Answers its probes.
+    #[serde(rename = "there")]
+    Alive,
+    /// Did not answer its last probes and may still refute the suspicion.
+    #[serde(rename = "doubted")]
+    Suspect,
+    /// Did not refute the suspicion in time, left, or was replaced by a later incarnation.
+    #[serde(rename = "gone")]
+    Down,
 }
 
 /// One member as this one sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// Who.
-    pub who: Who,
+pub struct KnownMember {
+    /// MemberId.
+    pub id: MemberId,
     /// How sure that is.
-    pub sure: Sure,
+    pub state: MemberState,
     /// Since when, on this member's clock.
     pub since: Duration,
     /// When a datagram of its own last came here.
-    pub heard: Option<Duration>,
+    pub last_received: Option<Duration>,
     /// Why it is seen so, in words.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// All members. Its number rises with each change and never falls while the process lives.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct MembershipView {
     /// Rises with each change.
-    pub number: u64,
+    pub version: u64,
     /// By address; this member itself is among them.
-    pub members: BTreeMap<SocketAddr, Seen>,
+    pub members: BTreeMap<SocketAddr, KnownMember>,
 }
 
-impl View {
+impl MembershipView {
     /// Members that are surely there.
-    pub fn at_least(&self) -> usize {
-        self.members.values().filter(|s| s.sure == Sure::There).count()
+    pub fn alive_count(&self) -> usize {
+        self.members.values().filter(|s| s.state == MemberState::Alive).count()
     }
 
     /// Members that may be there: those in doubt too.
-    pub fn at_most(&self) -> usize {
-        self.members.values().filter(|s| s.sure != Sure::Gone).count()
+    pub fn alive_or_suspect_count(&self) -> usize {
+        self.members.values().filter(|s| s.state != MemberState::Down).count()
     }
 }
--- a/crates/members/src/witness.rs
+++ b/crates/members/src/witness.rs
@@ -1,13 +1,13 @@
 //! A witness: who has renewed a lease, for a while.
 
-use crate::broken::{hold, Broken};
+use crate::invariants::{hold, InvariantViolation};
 use crate::words::{Counted, Renew};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Most processes that a witness remembers; past them it is blind.
-pub const MOST_HOLDERS: usize = 65_536;
+pub const MAX_LEASE_HOLDERS: usize = 65_536;
 
 /// Remembers who renewed, each for the hold. It keeps nothing over its own death, and says so.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,7 +29,7 @@
     pub fn renew(&mut self, now: Duration, renew: Renew) -> Counted {
         let hold = self.hold;
         self.renewed.retain(|_, at| *at + hold > now);
-        if self.renewed.len() < MOST_HOLDERS || self.renewed.contains_key(&renew.holder) {
+        if self.renewed.len() < MAX_LEASE_HOLDERS || self.renewed.contains_key(&renew.holder) {
             self.renewed.insert(renew.holder, now);
         } else {
             // It can't remember this one: it must not vouch for a count without it for as long as it may hold.
@@ -49,13 +49,13 @@
     ///
     /// # Errors
     /// The first invariant that is broken.
-    pub fn check(&self) -> Result<(), Broken> {
-        let (holders, most) = (self.renewed.len(), MOST_HOLDERS);
-        hold(holders <= most, || Broken::Holders { holders, most })?;
+    pub fn check(&self) -> Result<(), InvariantViolation> {
+        let (holders, most) = (self.renewed.len(), MAX_LEASE_HOLDERS);
+        hold(holders <= most, || InvariantViolation::Holders { holders, most })?;
         let Some(latest) = self.renewed.values().max().copied() else { return Ok(()) };
         for (holder, at) in &self.renewed {
             let (holder, at) = (*holder, *at);
-            hold(at + self.hold > latest, || Broken::Old { holder, at, latest })?;
+            hold(at + self.hold > latest, || InvariantViolation::Old { holder, at, latest })?;
         }
         Ok(())
     }
--- a/crates/members/src/words.rs
+++ b/crates/members/src/words.rs
@@ -30,7 +30,7 @@
 /// How many hold a lease, as far as this witness knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Counted {
-    /// Who counted, as the settings name it.
+    /// MemberId counted, as the settings name it.
     pub witness: SocketAddr,
     /// The round that asked.
     pub round: u64,
--- a/crates/members/tests/fleets.rs
+++ b/crates/members/tests/fleets.rs
@@ -41,24 +41,24 @@
             self.rng.random_range(0..self.n)
         };
         let span = ms(self.rng.random_range(100..9_000));
-        let (hall, part) = (self.rng.random_range(0..3), self.rng.random_range(0..self.n));
+        let (zone, part) = (self.rng.random_range(0..3), self.rng.random_range(0..self.n));
         match self.rng.random_range(0..11) {
             0 => self.net.members[one] = None,
             1 | 2 => (0..self.n).step_by(one + 1).for_each(|i| self.start(i)),
             3 => _ = self.net.stopped.insert(one, self.net.now + span),
             4 => (0..self.n).step_by(4).for_each(|i| _ = self.net.stopped.insert(i, self.net.now + span)),
-            5 => self.net.cut = Box::new(move |from, to| (from % 3 == hall) != (to % 3 == hall)),
+            5 => self.net.cut = Box::new(move |from, to| (from % 3 == zone) != (to % 3 == zone)),
             6 => self.net.cut = Box::new(move |from, _| from == one),
             7 => self.net.cut = Box::new(move |from, to| from < part && to >= part),
             8 => self.net.cut = Box::new(|_, _| false),
-            9 => self.net.loss = [0.0, 0.1, 0.4][hall],
-            _ => (self.net.double, self.net.late) = ([0.0, 0.3, 1.0][hall], [0.1, 0.0, 0.3][hall]),
+            9 => self.net.loss = [0.0, 0.1, 0.4][zone],
+            _ => (self.net.double, self.net.late) = ([0.0, 0.3, 1.0][zone], [0.1, 0.0, 0.3][zone]),
         }
     }
 
     fn start(&mut self, i: usize) {
         if self.net.members[i].is_none() {
-            // Its clock may be behind that of its last life.
+            // Its clock may be behind that of its last incarnation.
             let off = self.rng.random_range(-60_000..1_000);
             self.net.start_at(i, &format!("front-{i}"), off);
         }
--- a/crates/members/tests/heads.rs
+++ b/crates/members/tests/heads.rs
@@ -20,8 +20,9 @@
     let mut net = Net::new(30, 1);
     (0..20).for_each(|i| net.start(i));
     net.run(ms(20_000));
-    let counts =
-        |net: &Net| -> Vec<usize> { net.live().filter_map(|(_, m)| m.part()?.at(net.now)).collect() };
+    let counts = |net: &Net| -> Vec<usize> {
+        net.live().filter_map(|(_, m)| m.fleet_size()?.valid_at(net.now)).collect()
+    };
     assert_eq!(counts(&net), vec![20; 20]);
     (20..30).for_each(|i| net.start(i));
     let over = watch(&mut net, 20_000);
@@ -52,8 +53,8 @@
     net.run(ms(20_000));
     net.stopped.insert(7, net.now + ms(9_000));
     net.run(ms(9_000) + ms(1));
-    let part = net.members[7].as_ref().unwrap().part().unwrap();
-    assert_eq!(part.at(net.now), None);
+    let part = net.members[7].as_ref().unwrap().fleet_size().unwrap();
+    assert_eq!(part.valid_at(net.now), None);
 }
 
 proptest! {
@@ -83,6 +84,6 @@
         most = most.max(watch(&mut net, 30_000));
         prop_assert!(most <= 1.0 + 1e-9, "{most}");
         prop_assert!(net.parts() > 0.99, "all is well again, and all have their parts: {}", net.parts());
-        prop_assert!(net.members[0].as_ref().is_some_and(|m| m.me().address == address(0)));
+        prop_assert!(net.members[0].as_ref().is_some_and(|m| m.local_id().address == address(0)));
     }
 }
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Duration,
-    members: Vec<Option<Heads>>,
+    members: Vec<Option<LeaseCount>>,
     witnesses: Vec<Witness>,
     /// Rounds of this tick: the member, its question, and whom it has asked already.
     rounds: BTreeMap<usize, (Renew, BTreeSet<usize>)>,
@@ -57,7 +57,8 @@
 impl State {
     fn start(&mut self, i: usize) {
         self.lives += 1;
-        self.members[i] = Some(Heads::new(self.now, address(100 + i as u16), self.lives, LEASE, witnesses()));
+        self.members[i] =
+            Some(LeaseCount::new(self.now, address(100 + i as u16), self.lives, LEASE, witnesses()));
     }
 
     fn round(&mut self, i: usize) {
@@ -80,7 +81,7 @@
     }
 
     fn parts(&self) -> Vec<usize> {
-        self.members.iter().flatten().filter_map(|m| m.part()?.at(self.now)).collect()
+        self.members.iter().flatten().filter_map(|m| m.fleet_size()?.valid_at(self.now)).collect()
     }
 }
 
@@ -165,7 +166,7 @@
             Property::sometimes("somebody has a part", |_, s: &State| !s.parts().is_empty()),
             Property::sometimes("two have one", |_, s: &State| s.parts().len() == 2),
             Property::sometimes("a lease runs out", |_, s: &State| {
-                s.parts().is_empty() && s.members[0].as_ref().is_some_and(|m| m.part().is_some())
+                s.parts().is_empty() && s.members[0].as_ref().is_some_and(|m| m.fleet_size().is_some())
             }),
         ]
     }
@@ -183,7 +184,7 @@
 
 #[test]
 fn a_newcomer_beside_one_that_stands_still_or_is_cut_off() {
-    let hold = Heads::hold(LEASE);
+    let hold = LeaseCount::hold(LEASE);
     let (states, breach) = check(World { members: 2, ticks: 4, deaths: 0, forgets: 0, hold });
     println!("{states} states");
     assert_eq!(breach, None);
@@ -192,7 +193,7 @@
 
 #[test]
 fn a_witness_that_forgets() {
-    let hold = Heads::hold(LEASE);
+    let hold = LeaseCount::hold(LEASE);
     let (states, breach) = check(World { members: 2, ticks: 3, deaths: 0, forgets: 1, hold });
     println!("{states} states");
     assert_eq!(breach, None);
@@ -200,7 +201,7 @@
 
 #[test]
 fn a_member_that_dies_and_comes_back() {
-    let hold = Heads::hold(LEASE);
+    let hold = LeaseCount::hold(LEASE);
     let (states, breach) = check(World { members: 2, ticks: 3, deaths: 1, forgets: 0, hold });
     println!("{states} states");
     assert_eq!(breach, None);
--- a/crates/members/tests/net/looks.rs
+++ b/crates/members/tests/net/looks.rs
@@ -1,7 +1,7 @@
 //! What is seen of a fleet from outside.
 
 use super::{address, ms, Net};
-use cloverhollow_members::{Member, Sure};
+use cloverhollow_members::{Member, MemberState};
 use std::time::Duration;
 
 impl Net {
@@ -10,15 +10,17 @@
     }
 
     /// How `by` sees `of`.
-    pub fn sees(&self, by: usize, of: usize) -> Option<Sure> {
+    pub fn sees(&self, by: usize, of: usize) -> Option<MemberState> {
         let view = self.members[by].as_ref()?.view();
-        view.members.get(&address(of)).map(|s| s.sure)
+        view.members.get(&address(of)).map(|s| s.state)
     }
 
     /// Whether all that live see each other as there and nobody else.
     pub fn agreed(&self) -> bool {
         let live: Vec<usize> = self.live().map(|(i, _)| i).collect();
-        self.live().all(|(_, m)| m.view().at_most() == live.len() && m.view().at_least() == live.len())
+        self.live().all(|(_, m)| {
+            m.view().alive_or_suspect_count() == live.len() && m.view().alive_count() == live.len()
+        })
     }
 
     /// Runs until that is so for that many; whether it came to be.
@@ -40,7 +42,7 @@
 
     /// The sum of one over the counts in force: rule 4 wants one at the most.
     pub fn parts(&self) -> f64 {
-        self.live().filter_map(|(_, m)| m.part()?.at(self.now)).map(|n| 1.0 / n as f64).sum()
+        self.live().filter_map(|(_, m)| m.fleet_size()?.valid_at(self.now)).map(|n| 1.0 / n as f64).sum()
     }
 }
 
--- a/crates/members/tests/net/mod.rs
+++ b/crates/members/tests/net/mod.rs
@@ -37,13 +37,13 @@
     pub late: f64,
     /// Members that stand still until then: what comes for them waits, 256 datagrams at most.
     pub stopped: BTreeMap<usize, Duration>,
-    pub notices: Vec<(usize, Notice)>,
+    pub notices: Vec<(usize, MemberEvent)>,
     /// Steps of members, each looked at.
     pub steps: u64,
     queue: BTreeMap<(Duration, u64), (usize, Vec<u8>)>,
     sent: u64,
     rng: ChaCha8Rng,
-    pub settings: MemberSettings,
+    pub settings: MemberConfig,
     /// Unix time at the start of the day, ms.
     pub wall: u64,
     /// When some last asked others for all that they hold; `None`: nobody does.
@@ -56,19 +56,19 @@
 impl Net {
     /// `n` members in three halls, the first five of them seeds and the first three witnesses, none started.
     pub fn new(n: usize, seed: u64) -> Net {
-        let me = Who {
+        let me = MemberId {
             address: address(0),
-            side: None,
+            side_address: None,
             name: "".into(),
-            hall: "".into(),
-            life: Life { number: 0, token: 0 },
+            zone: "".into(),
+            incarnation: Incarnation { number: 0, token: 0 },
         };
-        let swim = SwimSettings { seeds: (0..5).map(address).collect(), ..SwimSettings::default() };
-        let settings = MemberSettings {
-            me,
+        let swim = SwimConfig { seeds: (0..5).map(address).collect(), ..SwimConfig::default() };
+        let settings = MemberConfig {
+            local_id: me,
             keys: vec![key(1)],
             swim,
-            lease: ms(4_000),
+            lease_duration: ms(4_000),
             witnesses: (0..3).map(address).collect(),
             seed: 0,
         };
@@ -100,12 +100,12 @@
     pub fn start_at(&mut self, i: usize, name: &str, off: i64) {
         let mut set = self.settings.clone();
         let number = self.wall().saturating_add_signed(off);
-        set.me = Who {
+        set.local_id = MemberId {
             address: address(i),
-            side: None,
+            side_address: None,
             name: name.into(),
-            hall: format!("hal-{}", i % 3).as_str().into(),
-            life: Life { number, token: self.rng.random() },
+            zone: format!("hal-{}", i % 3).as_str().into(),
+            incarnation: Incarnation { number, token: self.rng.random() },
         };
         set.seed = self.rng.random();
         self.members[i] = Some(Member::new(self.now, set));
@@ -140,10 +140,10 @@
 
     fn flush(&mut self, i: usize) {
         let Some(m) = self.members[i].as_mut() else { return };
-        let (out, notices) = (m.take_out(), m.take_notices());
+        let (out, notices) = (m.take_datagrams(), m.take_events());
         self.notices.extend(notices.into_iter().map(|n| (i, n)));
-        for Outgoing { to, bytes } in out {
-            assert!(bytes.len() <= MOST_DATAGRAM, "{} bytes", bytes.len());
+        for OutgoingDatagram { to, bytes } in out {
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
             let Some(to) = Net::index(to) else { continue };
             if (self.cut)(i, to) || self.rng.random_bool(self.loss) {
                 continue;
@@ -191,7 +191,7 @@
                     continue;
                 }
                 let Some(m) = self.members.get_mut(to).and_then(Option::as_mut) else { continue };
-                let _ = m.datagram(self.now, &bytes);
+                let _ = m.handle_datagram(self.now, &bytes);
                 to
             } else {
                 let Some((_, i)) = due else { continue };
--- a/crates/members/tests/random.rs
+++ b/crates/members/tests/random.rs
@@ -74,7 +74,7 @@
 }
 
 struct Front {
-    heads: Heads,
+    heads: LeaseCount,
     wakes: u64,
     /// Bits of the witnesses that it reaches, and that reach it.
     wires: (u8, u8),
@@ -102,7 +102,7 @@
         }
         self.lives += 1;
         let witnesses = (0..self.given.witnesses).map(address).collect();
-        let heads = Heads::new(self.clock(i), address(100 + i), self.lives * 7_919, LEASE, witnesses);
+        let heads = LeaseCount::new(self.clock(i), address(100 + i), self.lives * 7_919, LEASE, witnesses);
         self.members[i] = Some(Front { heads, wakes: 0, wires: (u8::MAX, u8::MAX) });
     }
 
@@ -153,7 +153,8 @@
             }
         }
         let fronts = self.members.iter().enumerate().filter_map(|(i, m)| Some((i, m.as_ref()?)));
-        let parts: Vec<_> = fronts.filter_map(|(i, m)| m.heads.part()?.at(self.clock(i))).collect();
+        let parts: Vec<_> =
+            fronts.filter_map(|(i, m)| m.heads.fleet_size()?.valid_at(self.clock(i))).collect();
         let sum: f64 = parts.iter().map(|n| 1.0 / *n as f64).sum();
         assert!(sum <= 1.0 + 1e-9, "parts over {parts:?} sum to {sum}");
         self.in_force += parts.len();
@@ -177,7 +178,7 @@
             Happens::Starts(i) => self.start(i),
             Happens::Forgets(w) if w < self.given.witnesses => {
                 let now = self.clock(MEMBERS + w);
-                self.witnesses[w] = Witness::new(now, address(w), Heads::hold(LEASE));
+                self.witnesses[w] = Witness::new(now, address(w), LeaseCount::hold(LEASE));
             }
             Happens::Forgets(_) => {}
             Happens::Comes(n, again) => {
@@ -207,7 +208,7 @@
     type Reference = Given;
 
     fn init_test(given: &Given) -> World {
-        let hold = Heads::hold(LEASE);
+        let hold = LeaseCount::hold(LEASE);
         let mut world = World {
             given: given.clone(),
             beats: 0,
--- a/crates/members/tests/swim.rs
+++ b/crates/members/tests/swim.rs
@@ -26,7 +26,7 @@
         net.loss = loss;
         net.members[7] = None;
         net.run(ms(60_000));
-        let missing = net.live().filter(|(i, _)| net.sees(*i, 7) == Some(Sure::Gone)).count();
+        let missing = net.live().filter(|(i, _)| net.sees(*i, 7) == Some(MemberState::Down)).count();
         assert_eq!(missing, 23, "{loss}");
         net.loss = 0.0;
         assert!(net.until_agreed(ms(20_000)).is_some(), "{loss}: nobody stays wrongly gone");
@@ -39,7 +39,7 @@
     // What 3 sends reaches nobody but 4 and 5; all of it comes back to 3.
     net.cut = Box::new(|from, to| from == 3 && to > 5);
     net.run(ms(30_000));
-    assert!(net.live().all(|(i, _)| net.sees(i, 3) != Some(Sure::Gone)), "others heard it");
+    assert!(net.live().all(|(i, _)| net.sees(i, 3) != Some(MemberState::Down)), "others heard it");
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let mut net = settled(24, 5);
     net.cut = Box::new(|from, to| (from % 3 == 1) != (to % 3 == 1));
     net.run(ms(20_000));
-    let there = |net: &Net, i: usize| net.members[i].as_ref().map(|m| m.view().at_most());
+    let there = |net: &Net, i: usize| net.members[i].as_ref().map(|m| m.view().alive_or_suspect_count());
     assert_eq!((there(&net, 0), there(&net, 1)), (Some(16), Some(8)), "each side sees its own");
     net.cut = Box::new(|_, _| false);
     let healed = net.until_agreed(ms(30_000)).expect("healed");
@@ -63,12 +63,12 @@
         net.run(span + ms(200));
         let own = net.members[4].as_ref().unwrap().view();
         assert_eq!(
-            own.at_most(),
+            own.alive_or_suspect_count(),
             12,
             "{part}: it takes nobody for gone by time-outs that ran while it stood"
         );
         let knew =
-            net.notices.iter().any(|(i, n)| *i == 4 && matches!(n, Notice::StoodStill(d) if *d > span / 2));
+            net.notices.iter().any(|(i, n)| *i == 4 && matches!(n, MemberEvent::Stalled(d) if *d > span / 2));
         assert_eq!(knew, part >= 2.0, "{part}");
         assert!(net.until_agreed(ms(30_000)).is_some(), "{part}");
     }
@@ -104,13 +104,13 @@
     let mut net = settled(6, 15);
     let mut spy = net.members[2].take().unwrap();
     spy.tick(net.now + ms(600));
-    let sealed: Vec<Vec<u8>> = spy.take_out().into_iter().map(|d| d.bytes).collect();
+    let sealed: Vec<Vec<u8>> = spy.take_datagrams().into_iter().map(|d| d.bytes).collect();
     net.members[2] = Some(spy);
     assert!(!sealed.is_empty());
     net.run(ms(2_000));
     let mut stranger = Sealer::new(Key { id: 1, secret: vec![99; 32] }, 5);
     let mut insider = Sealer::new(key(1), 6);
-    let before: Vec<_> = net.live().map(|(_, m)| (m.view().number, m.status().refused.clone())).collect();
+    let before: Vec<_> = net.live().map(|(_, m)| (m.view().version, m.stats().rejected.clone())).collect();
     for n in 0..2_000u64 {
         net.throw(1, n.to_be_bytes().repeat(9));
         net.throw(1, stranger.seal(b"word"));
@@ -122,9 +122,14 @@
     }
     net.run(ms(3_000));
     let after = net.members[1].as_ref().unwrap();
-    assert_eq!(after.view().number, before[1].0);
-    let refused = &after.status().refused;
-    for why in [Refused::Format, Refused::Mac, Refused::Unreadable, Refused::Repeated] {
+    assert_eq!(after.view().version, before[1].0);
+    let refused = &after.stats().rejected;
+    for why in [
+        ReceiveError::InvalidFormat,
+        ReceiveError::InvalidMac,
+        ReceiveError::Malformed,
+        ReceiveError::Replayed,
+    ] {
         assert!(refused.get(&why).is_some_and(|n| *n >= 1_900), "{why}: {refused:?}");
     }
     assert!(net.agreed());
@@ -143,7 +148,7 @@
         net.loss = loss;
         net.run(ms(5_000));
         let sent = |net: &Net| -> (u64, u64) {
-            let all = net.live().map(|(_, m)| (m.status().sent, m.status().sent_bytes));
+            let all = net.live().map(|(_, m)| (m.stats().sent, m.stats().sent_bytes));
             all.fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
         };
         let before = sent(&net);
@@ -151,7 +156,7 @@
         let after = sent(&net);
         let gone = |net: &Net| -> usize {
             let views = net.live().map(|(_, m)| m.view());
-            views.map(|v| v.members.values().filter(|s| s.sure == Sure::Gone).count()).sum()
+            views.map(|v| v.members.values().filter(|s| s.state == MemberState::Down).count()).sum()
         };
         let wrong = gone(&net);
         let (victim, died) = (n - 1, net.now);
@@ -159,7 +164,7 @@
         let (mut first, mut last) = (None, None);
         while net.now < died + ms(60_000) && last.is_none() {
             net.run(ms(50));
-            let missing = (0..victim).filter(|i| net.sees(*i, victim) == Some(Sure::Gone)).count();
+            let missing = (0..victim).filter(|i| net.sees(*i, victim) == Some(MemberState::Down)).count();
             first = first.or((missing > 0).then(|| net.now - died));
             last = (missing == victim).then(|| net.now - died);
         }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -10,7 +10,7 @@
 use cloverhollow_net::{unix_ms, Clock};
 use cloverhollow_platform::config::{self, Config, ConfigError};
 use cloverhollow_platform::link_monitor::LinkMonitor;
-use cloverhollow_recovery::Recovered;
+use cloverhollow_recovery::RecoveredState;
 use cloverhollow_session::{Core, Input};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -112,9 +112,9 @@
     event_loop.push_initial_input(Input::ClockOffset(wall_clock_offset));
     // Nothing is persisted, so a previous incarnation may have just sent set-ups: its time slots at cold
     // servers count as used.
-    event_loop.push_initial_input(Input::Recovered(Box::new(Recovered {
-        known: Duration::MAX,
-        ..Recovered::unkept()
+    event_loop.push_initial_input(Input::Recovered(Box::new(RecoveredState {
+        retries_complete_for: Duration::MAX,
+        ..RecoveredState::not_persisted()
     })));
     for update in initial_updates {
         event_loop.apply_channel_update(0, update);
--- a/crates/out/src/limits.rs
+++ b/crates/out/src/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::change::DenialReason;
 use crate::types::{Place, Register, Subject};
-use cloverhollow_members::Sure;
+use cloverhollow_members::MemberState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -58,12 +58,12 @@
     Dead,
 }
 
-impl From<Sure> for Availability {
-    fn from(sure: Sure) -> Availability {
+impl From<MemberState> for Availability {
+    fn from(sure: MemberState) -> Availability {
         match sure {
-            Sure::There => Availability::Serving,
-            Sure::Doubted => Availability::Suspect,
-            Sure::Gone => Availability::Dead,
+            MemberState::Alive => Availability::Serving,
+            MemberState::Suspect => Availability::Suspect,
+            MemberState::Down => Availability::Dead,
         }
     }
 }
--- a/crates/out/tests/words.rs
+++ b/crates/out/tests/words.rs
@@ -1,6 +1,6 @@
 //! Every word fits into one datagram, with the largest value.
 
-use cloverhollow_members::MOST_DATAGRAM;
+use cloverhollow_members::MAX_DATAGRAM_BYTES;
 use cloverhollow_out::*;
 use std::net::SocketAddr;
 
@@ -55,7 +55,7 @@
     for word in words {
         let bytes = postcard::to_stdvec(&word).unwrap();
         println!("{} bytes", bytes.len());
-        assert!(bytes.len() + AROUND <= MOST_DATAGRAM, "{}", bytes.len());
+        assert!(bytes.len() + AROUND <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
         assert_eq!(postcard::from_bytes::<Message>(&bytes).unwrap(), word);
     }
 }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -7,7 +7,7 @@
 mod forms;
 mod write;
 
-pub use write::{Recorder, MOST_BYTES, MOST_WAITING};
+pub use write::{Recorder, MAX_FILE_BYTES, MAX_QUEUED_STEPS};
 
 use cloverhollow::{Action, Event, SessionPolicy};
 use cloverhollow_settings::{FrontSettings, SettingsError};
@@ -25,7 +25,7 @@
 
 /// The head of a file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Header {
     magic: [u8; 4],
     format: u32,
     /// The settings, as the file of YAML had them.
@@ -34,10 +34,10 @@
     pub seed: u64,
 }
 
-impl Head {
+impl Header {
     /// For a module with these settings and seed.
     pub fn new(settings: String, seed: u64) -> Self {
-        Head { magic: MAGIC, format: FORMAT, settings, seed }
+        Header { magic: MAGIC, format: FORMAT, settings, seed }
     }
 }
 
@@ -56,13 +56,13 @@
 #[allow(missing_docs)] // the messages say it
 pub enum RecordError {
     #[error("{file}: {source}")]
-    Unreadable { file: String, source: std::io::Error },
+    Io { file: String, source: std::io::Error },
     #[error("{0}: not a record of this program")]
-    Foreign(String),
+    NotARecord(String),
     #[error("{file}: format {format}, and this program reads {FORMAT}")]
-    Format { file: String, format: u32 },
+    UnsupportedFormat { file: String, format: u32 },
     #[error("{file}: frame {frame} is broken")]
-    Broken { file: String, frame: u64 },
+    CorruptFrame { file: String, frame: u64 },
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -77,7 +77,7 @@
     /// Actions in them.
     pub actions: u64,
     /// The file ends inside a frame.
-    pub cut: bool,
+    pub truncated: bool,
     /// The first step whose actions came out otherwise: its number from 1, what was recorded, what came.
     pub difference: Option<Difference>,
 }
@@ -90,7 +90,7 @@
     /// What was recorded.
     pub recorded: Vec<Action>,
     /// What came.
-    pub came: Vec<Action>,
+    pub replayed: Vec<Action>,
 }
 
 struct Frames<R> {
@@ -130,7 +130,7 @@
     }
 
     fn broken(&self) -> RecordError {
-        RecordError::Broken { file: self.file.clone(), frame: self.read + 1 }
+        RecordError::CorruptFrame { file: self.file.clone(), frame: self.read + 1 }
     }
 
     /// Reads until `out` is full or the input ends.
@@ -141,7 +141,7 @@
                 Ok(0) => break,
                 Ok(n) => at += n,
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                Err(source) => return Err(RecordError::Unreadable { file: self.file.clone(), source }),
+                Err(source) => return Err(RecordError::Io { file: self.file.clone(), source }),
             }
         }
         Ok(at)
@@ -154,16 +154,15 @@
 /// The file cannot be read, is foreign or broken, or its settings no longer pass their check.
 pub fn replay(path: &Path) -> Result<Replay, RecordError> {
     let file = path.display().to_string();
-    let input =
-        std::fs::File::open(path).map_err(|source| RecordError::Unreadable { file: file.clone(), source })?;
+    let input = std::fs::File::open(path).map_err(|source| RecordError::Io { file: file.clone(), source })?;
     let mut frames = Frames { file: file.clone(), input: std::io::BufReader::new(input), read: 0 };
-    let Frame::Whole(head) = frames.next()? else { return Err(RecordError::Foreign(file)) };
-    let head: Head = postcard::from_bytes(&head).map_err(|_| RecordError::Foreign(file.clone()))?;
+    let Frame::Whole(head) = frames.next()? else { return Err(RecordError::NotARecord(file)) };
+    let head: Header = postcard::from_bytes(&head).map_err(|_| RecordError::NotARecord(file.clone()))?;
     if head.magic != MAGIC {
-        return Err(RecordError::Foreign(file));
+        return Err(RecordError::NotARecord(file));
     }
     if head.format != FORMAT {
-        return Err(RecordError::Format { file, format: head.format });
+        return Err(RecordError::UnsupportedFormat { file, format: head.format });
     }
     let settings = FrontSettings::parse(&file, &head.settings)?;
     let mut brain = SessionPolicy::new(settings.decisions(), head.seed);
@@ -172,7 +171,7 @@
         let body = match frames.next()? {
             Frame::Whole(body) => body,
             Frame::Cut => {
-                out.cut = true;
+                out.truncated = true;
                 return Ok(out);
             }
             Frame::End => return Ok(out),
@@ -183,7 +182,7 @@
         out.events += step.events.len() as u64;
         out.actions += step.actions.len() as u64;
         if came != step.actions && out.difference.is_none() {
-            out.difference = Some(Difference { step: out.steps, recorded: step.actions, came });
+            out.difference = Some(Difference { step: out.steps, recorded: step.actions, replayed: came });
         }
     }
 }
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -1,7 +1,7 @@
 //! Writing a record beside a running front.
 
 use crate::forms::{ActionsRef, EventsRef};
-use crate::Head;
+use crate::Header;
 use cloverhollow::{Action, Event};
 use serde::Serialize;
 use std::io::{BufWriter, Write};
@@ -11,9 +11,9 @@
 
 /// Most steps that wait to be written. Past them the record ends, as one with a gap could not be replayed:
 /// the desk is never held up.
-pub const MOST_WAITING: usize = 8_192;
+pub const MAX_QUEUED_STEPS: usize = 8_192;
 /// Most bytes of one file; past them the record ends.
-pub const MOST_BYTES: u64 = 4 * 1024 * 1024 * 1024;
+pub const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024 * 1024;
 
 #[derive(Serialize)]
 struct StepRef<'a> {
@@ -35,13 +35,13 @@
     ///
     /// # Errors
     /// The folder or file cannot be made.
-    pub fn begin(dir: &Path, name: &str, settings: String, seed: u64) -> std::io::Result<Recorder> {
+    pub fn create(dir: &Path, name: &str, settings: String, seed: u64) -> std::io::Result<Recorder> {
         std::fs::create_dir_all(dir)?;
         let at = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_millis();
         let path = dir.join(format!("{name}-{at}.rec"));
         let file = std::fs::File::create_new(&path)?;
-        let head = postcard::to_stdvec(&Head::new(settings, seed)).map_err(std::io::Error::other)?;
-        let (tx, rx) = sync_channel(MOST_WAITING);
+        let head = postcard::to_stdvec(&Header::new(settings, seed)).map_err(std::io::Error::other)?;
+        let (tx, rx) = sync_channel(MAX_QUEUED_STEPS);
         let writer = Some(std::thread::spawn(move || write(file, head, &rx)));
         Ok(Recorder { queue: Some(tx), writer, path })
     }
@@ -55,7 +55,7 @@
     }
 
     /// Keeps a step. Returns whether the record still goes on; it ends for good when its writer is behind.
-    pub fn step(&mut self, now: Duration, events: &[Event], actions: &[Action]) -> bool {
+    pub fn record_step(&mut self, now: Duration, events: &[Event], actions: &[Action]) -> bool {
         let Some(queue) = &self.queue else { return false };
         let step = StepRef { now, events: EventsRef(events), actions: ActionsRef(actions) };
         let kept = postcard::to_stdvec(&step).is_ok_and(|body| queue.try_send(body).is_ok());
@@ -85,7 +85,7 @@
     while let Some(body) = next.or_else(|| queue.recv().ok()) {
         let following = queue.try_recv().ok();
         total += body.len() as u64 + 8;
-        if total > MOST_BYTES || put(&body, following.is_none()).is_err() {
+        if total > MAX_FILE_BYTES || put(&body, following.is_none()).is_err() {
             return; // the queue's other end sees it and stops
         }
         next = following;
--- a/crates/record/tests/record.rs
+++ b/crates/record/tests/record.rs
@@ -17,7 +17,7 @@
     let text = "instance: {fronts: 2}";
     let settings = FrontSettings::parse("s.yaml", text).unwrap();
     let mut brain = SessionPolicy::new(settings.decisions(), 42);
-    let mut recorder = Recorder::begin(&dir(name), "front-1", text.into(), 42).unwrap();
+    let mut recorder = Recorder::create(&dir(name), "front-1", text.into(), 42).unwrap();
     let entry = |server| ListEntry {
         server,
         weight: 1.0,
@@ -53,7 +53,7 @@
         if lie && i == 77 {
             actions.push(Action::Fail(5));
         }
-        assert!(recorder.step(now, &events, &actions));
+        assert!(recorder.record_step(now, &events, &actions));
     }
     let path = recorder.path.clone();
     recorder.finish();
@@ -63,7 +63,7 @@
 #[test]
 fn a_record_replays_to_the_same_actions() {
     let found = replay(&recorded("same", false)).unwrap();
-    assert_eq!((found.steps, found.cut, found.difference), (200, false, None));
+    assert_eq!((found.steps, found.truncated, found.difference), (200, false, None));
     assert!(found.events > 900 && found.actions > 200, "{} {}", found.events, found.actions);
 }
 
@@ -79,14 +79,14 @@
     let bytes = std::fs::read(&path).unwrap();
     std::fs::write(&path, &bytes[..bytes.len() - 3]).unwrap();
     let found = replay(&path).unwrap();
-    assert_eq!((found.steps, found.cut), (199, true));
+    assert_eq!((found.steps, found.truncated), (199, true));
     let mut bad = bytes.clone();
     let at = bytes.len() - 1; // in the last body; in a length it would look like a cut
     bad[at] ^= 0x40;
     std::fs::write(&path, &bad).unwrap();
-    assert!(matches!(replay(&path), Err(RecordError::Broken { .. })), "a flipped bit is seen");
+    assert!(matches!(replay(&path), Err(RecordError::CorruptFrame { .. })), "a flipped bit is seen");
     std::fs::write(&path, b"something else entirely").unwrap();
     assert!(replay(&path).is_err());
     std::fs::write(&path, b"").unwrap();
-    assert!(matches!(replay(&path), Err(RecordError::Foreign(_))));
+    assert!(matches!(replay(&path), Err(RecordError::NotARecord(_))));
 }
--- a/crates/recovery/src/frame.rs
+++ b/crates/recovery/src/frame.rs
@@ -5,25 +5,25 @@
 //! waited for that write never acted, so a tail is dropped without loss. Anything else that does not check
 //! means that the file is not what this program wrote.
 
-use crate::deed::{Deed, Stamp};
+use crate::log_record::{LogRecord, Timestamp};
 
 /// The first bytes of a file: the name and version of the format.
 pub const MAGIC: [u8; 8] = *b"clvdeed1";
 /// Longest body of a frame, bytes: a whole ledger of ten million sessions.
-pub const MOST_BODY: usize = 256 << 20;
+pub const MAX_BODY_BYTES: usize = 256 << 20;
 const HEAD: usize = 8;
 
-/// Why bytes are no file of deeds.
+/// DistrustReason bytes are no file of deeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The first bytes are others.
     #[error("it does not begin as a file of deeds")]
-    Magic,
+    InvalidMagic,
     /// A frame's checksum does not fit, and it is not the last one.
-    #[error("the frame at byte {at} does not check")]
-    Garbled {
+    #[error("the frame at byte {offset} does not check")]
+    Corrupt {
         /// Where it begins.
-        at: usize,
+        offset: usize,
     },
     /// A body over [`MOST_BODY`].
     #[error("a frame of {bytes} bytes is too long")]
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// [`FrameError::TooLong`]; nothing is appended.
-pub fn encode(stamp: Stamp, deed: &Deed, out: &mut Vec<u8>) -> Result<(), FrameError> {
+pub fn encode(stamp: Timestamp, deed: &LogRecord, out: &mut Vec<u8>) -> Result<(), FrameError> {
     let start = out.len();
     out.extend_from_slice(&[0; HEAD]);
     // Only a sequence of unknown length can fail, and there is none.
@@ -45,7 +45,7 @@
         out.extend_from_slice(&body);
     }
     let bytes = out.len() - start - HEAD;
-    let Some(length) = u32::try_from(bytes).ok().filter(|_| bytes <= MOST_BODY) else {
+    let Some(length) = u32::try_from(bytes).ok().filter(|_| bytes <= MAX_BODY_BYTES) else {
         out.truncate(start);
         return Err(FrameError::TooLong { bytes });
     };
@@ -57,55 +57,55 @@
 
 /// The deeds of a file, in order.
 #[derive(Debug, PartialEq)]
-pub struct Read {
+pub struct DecodedLog {
     /// Each with its stamp.
-    pub deeds: Vec<(Stamp, Deed)>,
+    pub records: Vec<(Timestamp, LogRecord)>,
     /// Bytes up to the end of the last whole frame.
-    pub whole: usize,
+    pub valid_len: usize,
     /// Whether a torn tail was dropped.
-    pub torn: bool,
+    pub torn_tail: bool,
 }
 
 /// Reads a file.
 ///
 /// # Errors
 /// It is not what this program wrote.
-pub fn read(bytes: &[u8]) -> Result<Read, FrameError> {
-    let mut out = Read { deeds: Vec::new(), whole: 0, torn: false };
+pub fn decode(bytes: &[u8]) -> Result<DecodedLog, FrameError> {
+    let mut out = DecodedLog { records: Vec::new(), valid_len: 0, torn_tail: false };
     if bytes.len() < MAGIC.len() {
         // A file that was cut inside its first write.
-        out.torn = !bytes.is_empty();
-        return if MAGIC.starts_with(bytes) { Ok(out) } else { Err(FrameError::Magic) };
+        out.torn_tail = !bytes.is_empty();
+        return if MAGIC.starts_with(bytes) { Ok(out) } else { Err(FrameError::InvalidMagic) };
     }
     if !bytes.starts_with(&MAGIC) {
-        return Err(FrameError::Magic);
+        return Err(FrameError::InvalidMagic);
     }
     let mut at = MAGIC.len();
-    out.whole = at;
+    out.valid_len = at;
     while at < bytes.len() {
         let Some((length, crc)) = head(&bytes[at..]) else {
-            out.torn = true;
+            out.torn_tail = true;
             break;
         };
-        if length > MOST_BODY {
-            return Err(FrameError::Garbled { at });
+        if length > MAX_BODY_BYTES {
+            return Err(FrameError::Corrupt { offset: at });
         }
         let Some(body) = bytes.get(at + HEAD..at + HEAD + length) else {
-            out.torn = true;
+            out.torn_tail = true;
             break;
         };
         let deed = (crc32fast::hash(body) == crc).then(|| postcard::from_bytes(body).ok()).flatten();
         match deed {
-            Some(deed) => out.deeds.push(deed),
+            Some(deed) => out.records.push(deed),
             // A tail of the right length whose pages never came: the last frame alone may be so.
             None if at + HEAD + length == bytes.len() => {
-                out.torn = true;
+                out.torn_tail = true;
                 break;
             }
-            None => return Err(FrameError::Garbled { at }),
+            None => return Err(FrameError::Corrupt { offset: at }),
         }
         at += HEAD + length;
-        out.whole = at;
+        out.valid_len = at;
     }
     Ok(out)
 }
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -1,45 +1,53 @@
 //! What the deeds of all lives add up to.
 
-use crate::deed::{digest, Boot, Deed, Stamp};
-use crate::paid::Paid;
+use crate::log_record::{session_digest, BootId, LogRecord, Timestamp};
+use crate::paid::PaidSessions;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
 /// How much a ledger holds at most; past each the oldest goes first.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Paid sessions.
-    pub paid: usize,
+pub struct LedgerLimits {
+    /// PaidSessions sessions.
+    pub paid_sessions: usize,
     /// Further attempts. Past them the ledger no longer knows as far back as it did, and says so.
-    pub further: usize,
+    pub retries: usize,
     /// Servers that take no new work, and servers that failed.
-    pub stopped: usize,
+    pub servers: usize,
     /// Sessions that a server may still hold.
-    pub held: usize,
+    pub unreleased: usize,
     /// Starts.
-    pub starts: usize,
+    pub incarnations: usize,
 }
 
-impl Default for Bounds {
+impl Default for LedgerLimits {
     fn default() -> Self {
-        Bounds { paid: 262_144, further: 4_096, stopped: 65_536, held: 4_096, starts: 64 }
+        LedgerLimits {
+            paid_sessions: 262_144,
+            retries: 4_096,
+            servers: 65_536,
+            unreleased: 4_096,
+            incarnations: 64,
+        }
     }
 }
 
 /// A life's beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct IncarnationRecord {
     /// When.
-    pub at: Stamp,
+    #[serde(rename = "at")]
+    pub started_at: Timestamp,
     /// In which boot.
-    pub boot: Boot,
+    pub boot: BootId,
     /// Whether it ended in order.
-    pub ended: bool,
+    #[serde(rename = "ended")]
+    pub clean_shutdown: bool,
 }
 
 /// A session that a server may hold for a front that is dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct UnreleasedSession {
     /// The session.
     pub sid: String,
     /// The server.
@@ -49,102 +57,116 @@
 /// The state that deeds add up to. [`Ledger::apply`] is all that changes it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Paid sessions that may have run, the oldest first.
-    paid: Paid,
+    /// PaidSessions sessions that may have run, the oldest first.
+    #[serde(rename = "paid")]
+    paid_sessions: PaidSessions,
     /// Further attempts of this boot, the oldest first.
-    further: VecDeque<Stamp>,
+    #[serde(rename = "further")]
+    retries: VecDeque<Timestamp>,
     /// All further attempts after this are in `further`; `None`: all that there ever were.
-    known_from: Option<Stamp>,
+    #[serde(rename = "known_from")]
+    retries_complete_since: Option<Timestamp>,
     stopped: BTreeSet<u64>,
     failed: BTreeSet<u64>,
-    held: VecDeque<Held>,
-    starts: VecDeque<Start>,
-    last: Option<Stamp>,
+    #[serde(rename = "held")]
+    unreleased: VecDeque<UnreleasedSession>,
+    #[serde(rename = "starts")]
+    incarnations: VecDeque<IncarnationRecord>,
+    #[serde(rename = "last")]
+    last_record_at: Option<Timestamp>,
 }
 
 impl Ledger {
     /// A ledger that does not know what was before.
-    pub fn unknown_before(now: Stamp) -> Self {
-        Ledger { known_from: Some(now), ..Ledger::default() }
+    pub fn unknown_before(now: Timestamp) -> Self {
+        Ledger { retries_complete_since: Some(now), ..Ledger::default() }
     }
 
     /// Takes one deed in.
-    pub fn apply(&mut self, at: Stamp, deed: &Deed, bounds: &Bounds) {
-        self.last = self.last.max(Some(at));
+    pub fn apply(&mut self, at: Timestamp, deed: &LogRecord, bounds: &LedgerLimits) {
+        self.last_record_at = self.last_record_at.max(Some(at));
         match deed {
-            Deed::Began { boot } => {
-                if self.starts.back().is_some_and(|s| s.boot != *boot) {
+            LogRecord::IncarnationStarted { boot } => {
+                if self.incarnations.back().is_some_and(|s| s.boot != *boot) {
                     // Times of another boot say nothing in this one.
-                    self.further.clear();
-                    self.known_from = Some(at);
-                    self.last = Some(at);
+                    self.retries.clear();
+                    self.retries_complete_since = Some(at);
+                    self.last_record_at = Some(at);
                 }
-                self.held.clear();
-                push(&mut self.starts, Start { at, boot: *boot, ended: false }, bounds.starts);
+                self.unreleased.clear();
+                push(
+                    &mut self.incarnations,
+                    IncarnationRecord { started_at: at, boot: *boot, clean_shutdown: false },
+                    bounds.incarnations,
+                );
             }
-            Deed::Out { sid, server, paid, further } => {
+            LogRecord::AttemptStarted { sid, server, paid, is_retry: further } => {
                 if *paid {
-                    self.paid.add(digest(sid), bounds.paid);
-                    push(&mut self.held, Held { sid: sid.clone(), server: *server }, bounds.held);
+                    self.paid_sessions.insert(session_digest(sid), bounds.paid_sessions);
+                    push(
+                        &mut self.unreleased,
+                        UnreleasedSession { sid: sid.clone(), server: *server },
+                        bounds.unreleased,
+                    );
                 }
                 if *further {
-                    if let Some(lost) = push(&mut self.further, at, bounds.further) {
-                        self.known_from = self.known_from.max(Some(lost));
+                    if let Some(lost) = push(&mut self.retries, at, bounds.retries) {
+                        self.retries_complete_since = self.retries_complete_since.max(Some(lost));
                     }
                 }
             }
-            Deed::Unrun { sid } => {
-                self.paid.remove(*sid);
-                self.held.retain(|h| digest(&h.sid) != *sid);
+            LogRecord::AttemptNotExecuted { sid } => {
+                self.paid_sessions.remove(*sid);
+                self.unreleased.retain(|h| session_digest(&h.sid) != *sid);
             }
-            Deed::Listed { server, serves: true } => {
+            LogRecord::ServerListed { server, accepts_sessions: true } => {
                 self.stopped.remove(server);
             }
-            Deed::Listed { server, serves: false } => {
-                if self.stopped.len() < bounds.stopped {
+            LogRecord::ServerListed { server, accepts_sessions: false } => {
+                if self.stopped.len() < bounds.servers {
                     self.stopped.insert(*server);
                 }
             }
-            Deed::Failed { server, failed: false } => {
+            LogRecord::ServerFailure { server, failed: false } => {
                 self.failed.remove(server);
             }
-            Deed::Failed { server, failed: true } => {
-                if self.failed.len() < bounds.stopped {
+            LogRecord::ServerFailure { server, failed: true } => {
+                if self.failed.len() < bounds.servers {
                     self.failed.insert(*server);
                 }
             }
-            Deed::Ended => {
-                self.held.clear();
-                if let Some(start) = self.starts.back_mut() {
-                    start.ended = true;
+            LogRecord::CleanShutdown => {
+                self.unreleased.clear();
+                if let Some(start) = self.incarnations.back_mut() {
+                    start.clean_shutdown = true;
                 }
             }
-            Deed::Whole(all) => *self = (**all).clone(),
+            LogRecord::Snapshot(all) => *self = (**all).clone(),
         }
     }
 
     /// Forgets further attempts that are older than `span`: what is older than any ration's span counts no
     /// more. A later life with a longer span is told that they are not known.
-    pub fn forget_further(&mut self, now: Stamp, span: std::time::Duration) {
-        while let Some(at) = self.further.front().copied().filter(|at| at.age(now) > span) {
-            self.further.pop_front();
-            self.known_from = self.known_from.max(Some(at));
+    pub fn forget_retries(&mut self, now: Timestamp, span: std::time::Duration) {
+        while let Some(at) = self.retries.front().copied().filter(|at| at.age(now) > span) {
+            self.retries.pop_front();
+            self.retries_complete_since = self.retries_complete_since.max(Some(at));
         }
     }
 
-    /// Paid sessions that may have run, the oldest first.
-    pub fn paid(&self) -> &Paid {
-        &self.paid
+    /// PaidSessions sessions that may have run, the oldest first.
+    pub fn paid_sessions(&self) -> &PaidSessions {
+        &self.paid_sessions
     }
 
     /// Further attempts, the oldest first.
-    pub fn further(&self) -> impl Iterator<Item = Stamp> + '_ {
-        self.further.iter().copied()
+    pub fn retries(&self) -> impl Iterator<Item = Timestamp> + '_ {
+        self.retries.iter().copied()
     }
 
     /// Since when those are all; `None`: for ever.
-    pub fn known_from(&self) -> Option<Stamp> {
-        self.known_from
+    pub fn retries_complete_since(&self) -> Option<Timestamp> {
+        self.retries_complete_since
     }
 
     /// Servers that this front was told take no new work.
@@ -157,19 +179,19 @@
         &self.failed
     }
 
-    /// Paid sessions that servers may hold for this front's last life.
-    pub fn held(&self) -> impl Iterator<Item = &Held> {
-        self.held.iter()
+    /// PaidSessions sessions that servers may hold for this front's last life.
+    pub fn unreleased(&self) -> impl Iterator<Item = &UnreleasedSession> {
+        self.unreleased.iter()
     }
 
     /// The last lives' beginnings, the oldest first.
-    pub fn starts(&self) -> impl DoubleEndedIterator<Item = &Start> {
-        self.starts.iter()
+    pub fn incarnations(&self) -> impl DoubleEndedIterator<Item = &IncarnationRecord> {
+        self.incarnations.iter()
     }
 
     /// When the last deed was taken down.
-    pub fn last(&self) -> Option<Stamp> {
-        self.last
+    pub fn last_record_at(&self) -> Option<Timestamp> {
+        self.last_record_at
     }
 }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,7 +1,7 @@
 //! What a front's death must not forget.
 //!
 //! Rules count over spans and over sessions; a process that dies loses what it counted. Here is what a front
-//! takes down before it acts ([`Deed`]), how that becomes bytes and back ([`frame`]), the state that the deeds
+//! takes down before it acts ([`LogRecord`]), how that becomes bytes and back ([`frame`]), the state that the deeds
 //! add up to ([`Ledger`]), what of a file that is found at a start can be believed ([`recover`]), and how long
 //! a front that dies again and again waits before it takes viewers ([`backoff`]).
 //!
@@ -9,14 +9,14 @@
 //! one.
 
 pub mod backoff;
-pub mod deed;
 pub mod frame;
 pub mod ledger;
+pub mod log_record;
 mod paid;
 mod recover;
 
-pub use backoff::Backoff;
-pub use deed::{digest, Boot, Deed, Digest, Stamp};
-pub use ledger::{Bounds, Ledger};
-pub use paid::Paid;
-pub use recover::{recover, Found, Recovered, Trust, Why};
+pub use backoff::RestartBackoff;
+pub use ledger::{Ledger, LedgerLimits};
+pub use log_record::{session_digest, BootId, LogRecord, SessionDigest, Timestamp};
+pub use paid::PaidSessions;
+pub use recover::{recover, DistrustReason, FoundLog, RecoveredState, Trust};
--- a/crates/recovery/src/paid.rs
+++ b/crates/recovery/src/paid.rs
@@ -1,32 +1,32 @@
-//! Paid sessions that may have run: the last so many, the oldest forgotten first.
+//! PaidSessions sessions that may have run: the last so many, the oldest forgotten first.
 
-use crate::deed::Digest;
+use crate::log_record::SessionDigest;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashSet, VecDeque};
 
 /// A set that knows the order in which its members came.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "VecDeque<Digest>", into = "VecDeque<Digest>")]
-pub struct Paid {
-    order: VecDeque<Digest>,
-    known: HashSet<Digest>,
+#[serde(from = "VecDeque<SessionDigest>", into = "VecDeque<SessionDigest>")]
+pub struct PaidSessions {
+    order: VecDeque<SessionDigest>,
+    known: HashSet<SessionDigest>,
 }
 
-impl From<VecDeque<Digest>> for Paid {
-    fn from(order: VecDeque<Digest>) -> Self {
-        Paid { known: order.iter().copied().collect(), order }
+impl From<VecDeque<SessionDigest>> for PaidSessions {
+    fn from(order: VecDeque<SessionDigest>) -> Self {
+        PaidSessions { known: order.iter().copied().collect(), order }
     }
 }
 
-impl From<Paid> for VecDeque<Digest> {
-    fn from(paid: Paid) -> Self {
+impl From<PaidSessions> for VecDeque<SessionDigest> {
+    fn from(paid: PaidSessions) -> Self {
         paid.order
     }
 }
 
-impl Paid {
+impl PaidSessions {
     /// Puts one in; past `most` the oldest goes.
-    pub fn add(&mut self, sid: Digest, most: usize) {
+    pub fn insert(&mut self, sid: SessionDigest, most: usize) {
         if !self.known.insert(sid) {
             return;
         }
@@ -39,7 +39,7 @@
     }
 
     /// Takes one out.
-    pub fn remove(&mut self, sid: Digest) {
+    pub fn remove(&mut self, sid: SessionDigest) {
         if self.known.remove(&sid) {
             // It is among the newest: whoever proves that it never ran does so within its viewer's time.
             if let Some(i) = self.order.iter().rposition(|d| *d == sid) {
@@ -49,12 +49,12 @@
     }
 
     /// Whether it is in.
-    pub fn has(&self, sid: Digest) -> bool {
+    pub fn contains(&self, sid: SessionDigest) -> bool {
         self.known.contains(&sid)
     }
 
     /// All of them, the oldest first.
-    pub fn iter(&self) -> impl ExactSizeIterator<Item = Digest> + '_ {
+    pub fn iter(&self) -> impl ExactSizeIterator<Item = SessionDigest> + '_ {
         self.order.iter().copied()
     }
 }
--- a/crates/recovery/src/recover.rs
+++ b/crates/recovery/src/recover.rs
@@ -1,9 +1,9 @@
 //! What of a file that is found at a start can be believed.
 
-use crate::deed::{Boot, Stamp};
 use crate::frame;
-use crate::ledger::{Bounds, Held, Ledger};
-use crate::paid::Paid;
+use crate::ledger::{Ledger, LedgerLimits, UnreleasedSession};
+use crate::log_record::{BootId, Timestamp};
+use crate::paid::PaidSessions;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -12,149 +12,165 @@
 
 /// What is found at a start.
 #[derive(Clone, Copy, Debug)]
-pub struct Found<'a> {
+pub struct FoundLog<'a> {
     /// The file's bytes; `None`: there is no file.
     pub bytes: Option<&'a [u8]>,
     /// When the file last changed (its `ctime`, which no copy or restoring can carry over), by the wall clock.
-    pub changed_ms: u64,
+    pub changed_unix_ms: u64,
     /// Something else says that this front ran before.
     pub ran_before: bool,
 }
 
-/// Why a file is not believed.
+/// DistrustReason a file is not believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Why {
+pub enum DistrustReason {
     /// There is none, and there should be.
     #[error("the file of deeds is gone")]
-    Gone,
+    Missing,
     /// It is not what was written.
     #[error("{0}")]
-    Frames(#[from] frame::FrameError),
+    InvalidFrames(#[from] frame::FrameError),
     /// It holds no life.
     #[error("it tells of no life")]
     Empty,
     /// It changed after the last deed: an older copy was put in its place.
-    #[error("it changed {by_ms} ms off its last deed: it is not the file that was written last")]
-    Strayed {
+    #[error("it changed {difference_ms} ms off its last deed: it is not the file that was written last")]
+    ChangeTimeMismatch {
         /// How far off.
-        by_ms: u64,
+        difference_ms: u64,
     },
     /// The boot's clock is behind it.
     #[error("its last deed lies ahead of the machine's clock")]
-    Ahead,
+    ClockBehind,
 }
 
 /// How far the earlier lives are proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
     /// There was none.
-    First,
+    FirstStart,
     /// All their deeds are known.
-    Proven,
+    Complete,
     /// The machine was started anew since: what was not yet on the disk is lost with it.
     Rebooted,
     /// Nothing is: what should tell of them does not.
-    Unproven(Why),
+    Unproven(DistrustReason),
     /// Nothing is ever kept: each life may be the first or not.
-    Unkept,
+    NotPersisted,
 }
 
 impl Trust {
     /// Whether deeds of the last life may be missing though they should be known.
-    pub fn misses(&self) -> bool {
+    pub fn may_miss_records(&self) -> bool {
         matches!(self, Trust::Rebooted | Trust::Unproven(_))
     }
 
-    /// In words, for operators.
-    pub fn words(&self) -> String {
+    /// In describe, for operators.
+    pub fn describe(&self) -> String {
         match self {
-            Trust::First => "first life".into(),
-            Trust::Proven => "earlier lives are proven".into(),
+            Trust::FirstStart => "first life".into(),
+            Trust::Complete => "earlier lives are proven".into(),
             Trust::Rebooted => "the machine was started anew".into(),
             Trust::Unproven(why) => why.to_string(),
-            Trust::Unkept => "nothing is kept (keep.file)".into(),
+            Trust::NotPersisted => "nothing is kept (keep.file)".into(),
         }
     }
 }
 
 /// What a start knows of the lives before it.
 #[derive(Debug)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// How far that is proven.
     pub trust: Trust,
-    /// Paid sessions that may have run, the oldest first.
-    pub paid: Paid,
+    /// PaidSessions sessions that may have run, the oldest first.
+    pub paid_sessions: PaidSessions,
     /// Ages of further attempts.
-    pub further: Vec<Duration>,
+    pub retry_ages: Vec<Duration>,
     /// For so long back those are all.
-    pub known: Duration,
+    pub retries_complete_for: Duration,
     /// Servers that take no new work.
     pub stopped: BTreeSet<u64>,
     /// Servers that failed, and did not work since.
     pub failed: BTreeSet<u64>,
-    /// Paid sessions that servers may hold for the last life.
-    pub held: Vec<Held>,
+    /// PaidSessions sessions that servers may hold for the last life.
+    pub unreleased: Vec<UnreleasedSession>,
 }
 
-impl Recovered {
+impl RecoveredState {
     /// Of a front that keeps nothing.
-    pub fn unkept() -> Self {
-        Recovered {
-            trust: Trust::Unkept,
-            paid: Paid::default(),
-            further: Vec::new(),
-            known: Duration::ZERO,
+    pub fn not_persisted() -> Self {
+        RecoveredState {
+            trust: Trust::NotPersisted,
+            paid_sessions: PaidSessions::default(),
+            retry_ages: Vec::new(),
+            retries_complete_for: Duration::ZERO,
             stopped: BTreeSet::new(),
             failed: BTreeSet::new(),
-            held: Vec::new(),
+            unreleased: Vec::new(),
         }
     }
 }
 
-/// Reads what is found. Gives the ledger to go on with, before this life's own [`Deed::Began`].
-pub fn recover(found: Found<'_>, boot: Boot, now: Stamp, bounds: &Bounds) -> (Ledger, Recovered) {
+/// Reads what is found. Gives the ledger to go on with, before this life's own [`LogRecord::IncarnationStarted`].
+pub fn recover(
+    found: FoundLog<'_>,
+    boot: BootId,
+    now: Timestamp,
+    bounds: &LedgerLimits,
+) -> (Ledger, RecoveredState) {
     let (ledger, trust) = match believe(found, boot, now, bounds) {
         Ok(believed) => believed,
         Err(why) => (Ledger::unknown_before(now), Trust::Unproven(why)),
     };
-    let age = |at: Stamp| at.age(now);
-    let same_boot = trust == Trust::Proven;
-    let recovered = Recovered {
+    let age = |at: Timestamp| at.age(now);
+    let same_boot = trust == Trust::Complete;
+    let recovered = RecoveredState {
         trust,
-        paid: ledger.paid().clone(),
-        further: ledger.further().filter(|_| same_boot).map(age).collect(),
-        known: match trust {
-            Trust::First => Duration::MAX,
-            Trust::Proven => ledger.known_from().map_or(Duration::MAX, age),
-            Trust::Rebooted | Trust::Unproven(_) | Trust::Unkept => Duration::ZERO,
+        paid_sessions: ledger.paid_sessions().clone(),
+        retry_ages: ledger.retries().filter(|_| same_boot).map(age).collect(),
+        retries_complete_for: match trust {
+            Trust::FirstStart => Duration::MAX,
+            Trust::Complete => ledger.retries_complete_since().map_or(Duration::MAX, age),
+            Trust::Rebooted | Trust::Unproven(_) | Trust::NotPersisted => Duration::ZERO,
         },
         stopped: ledger.stopped().clone(),
         failed: ledger.failed().clone(),
-        held: ledger.held().cloned().collect(),
+        unreleased: ledger.unreleased().cloned().collect(),
     };
     (ledger, recovered)
 }
 
-fn believe(found: Found<'_>, boot: Boot, now: Stamp, bounds: &Bounds) -> Result<(Ledger, Trust), Why> {
+fn believe(
+    found: FoundLog<'_>,
+    boot: BootId,
+    now: Timestamp,
+    bounds: &LedgerLimits,
+) -> Result<(Ledger, Trust), DistrustReason> {
     let Some(bytes) = found.bytes else {
-        return if found.ran_before { Err(Why::Gone) } else { Ok((Ledger::default(), Trust::First)) };
+        return if found.ran_before {
+            Err(DistrustReason::Missing)
+        } else {
+            Ok((Ledger::default(), Trust::FirstStart))
+        };
     };
-    let read = frame::read(bytes)?;
+    let read = frame::decode(bytes)?;
     let mut ledger = Ledger::default();
-    for (at, deed) in &read.deeds {
+    for (at, deed) in &read.records {
         ledger.apply(*at, deed, bounds);
     }
-    let in_boot = ledger.starts().next_back().map(|s| s.boot);
-    let (Some(in_boot), Some(last)) = (in_boot, ledger.last()) else { return Err(Why::Empty) };
-    let by_ms = found.changed_ms.abs_diff(last.wall_ms);
+    let in_boot = ledger.incarnations().next_back().map(|s| s.boot);
+    let (Some(in_boot), Some(last)) = (in_boot, ledger.last_record_at()) else {
+        return Err(DistrustReason::Empty);
+    };
+    let by_ms = found.changed_unix_ms.abs_diff(last.wall_ms);
     if by_ms > STRAYED {
-        return Err(Why::Strayed { by_ms });
+        return Err(DistrustReason::ChangeTimeMismatch { difference_ms: by_ms });
     }
     if in_boot != boot {
         return Ok((ledger, Trust::Rebooted));
     }
     if last.boot_ms > now.boot_ms {
-        return Err(Why::Ahead);
+        return Err(DistrustReason::ClockBehind);
     }
-    Ok((ledger, Trust::Proven))
+    Ok((ledger, Trust::Complete))
 }
--- a/crates/session/src/core/actions.rs
+++ b/crates/session/src/core/actions.rs
@@ -7,7 +7,7 @@
 use crate::timers::Timer;
 use crate::types::*;
 use cloverhollow::{Action, AttemptOutcome, Event, LoadReport, RequestId, ServerId};
-use cloverhollow_recovery::Deed;
+use cloverhollow_recovery::LogRecord;
 use std::time::Duration;
 
 /// Longest time from a decision to the first byte of its set-up. A process that was paused in between would send on
@@ -73,7 +73,12 @@
         let has_budget = self.config.persistence.as_ref().is_some_and(|p| p.retry_budget);
         let (paid, further) = (session.paid, number > 0 && has_budget);
         let is_logged = self.config.persistence.is_some() && (paid || further);
-        let log_record = is_logged.then(|| Deed::Out { sid: sid.to_string(), server, paid, further });
+        let log_record = is_logged.then(|| LogRecord::AttemptStarted {
+            sid: sid.to_string(),
+            server,
+            paid,
+            is_retry: further,
+        });
         let default_delay = if further { MAX_RETRY_SEND_DELAY } else { MAX_SEND_DELAY };
         let send_deadline =
             self.now + self.policy.max_send_delay(server).map_or(default_delay, |d| d.min(default_delay));
--- a/crates/session/src/core/attempts.rs
+++ b/crates/session/src/core/attempts.rs
@@ -6,7 +6,7 @@
 use crate::stats::increment;
 use crate::types::*;
 use cloverhollow::{AttemptOutcome, Event};
-use cloverhollow_recovery::{digest, Deed};
+use cloverhollow_recovery::{session_digest, LogRecord};
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
     /// Cancels an attempt if it is pending and not cancelled already. A cancellation for a drain may be replaced,
@@ -123,7 +123,8 @@
             // The server may hold the session in spite of the attempt's end.
             self.commands.push(Command::Release { address, server, sid: session.sid.clone() });
         } else if session.paid && session.possibly_executed_end.is_none() && end != AttemptEnd::NotPersisted {
-            self.commands.push(Command::Persist(Deed::Unrun { sid: digest(&session.sid) }));
+            self.commands
+                .push(Command::Persist(LogRecord::AttemptNotExecuted { sid: session_digest(&session.sid) }));
         }
         let ended =
             Event::AttemptEnded(attempt.request, attempt.number, server, outcome, abandoned, load.report());
--- a/crates/session/src/core/inputs.rs
+++ b/crates/session/src/core/inputs.rs
@@ -6,7 +6,7 @@
 use crate::timers::Timer;
 use crate::types::*;
 use cloverhollow::{Event, RecoveredHistory};
-use cloverhollow_recovery::{Recovered, Trust};
+use cloverhollow_recovery::{RecoveredState, Trust};
 use std::time::Duration;
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
@@ -77,19 +77,19 @@
     }
 
     /// Restores what is proven of earlier incarnations. What is not proven counts as having happened.
-    fn restore_history(&mut self, mut recovered: Recovered) {
-        let (paid, stopped) = (recovered.paid.iter().len(), recovered.stopped.len());
+    fn restore_history(&mut self, mut recovered: RecoveredState) {
+        let (paid, stopped) = (recovered.paid_sessions.iter().len(), recovered.stopped.len());
         tracing::info!(
-            proven = recovered.trust.words(),
+            proven = recovered.trust.describe(),
             paid,
             stopped,
             "earlier incarnation of this front found"
         );
         let paid_deadlines = self.config.classes.iter().filter(|c| c.paid).map(|c| c.deadline);
         self.history.restore(self.now, &mut recovered, paid_deadlines.max().unwrap_or_default());
-        let ran = (recovered.trust != Trust::First).then_some(Duration::ZERO);
+        let ran = (recovered.trust != Trust::FirstStart).then_some(Duration::ZERO);
         // A front without persistence starts with an empty list, so no entry on it can be out of date.
-        let list_may_be_stale = !matches!(recovered.trust, Trust::First | Trust::Unkept);
+        let list_may_be_stale = !matches!(recovered.trust, Trust::FirstStart | Trust::NotPersisted);
         let late = self
             .config
             .persistence
@@ -97,8 +97,8 @@
             .filter(|_| list_may_be_stale)
             .map_or(Duration::ZERO, |p| p.max_list_delay);
         self.events.push(Event::RecoveredHistory(RecoveredHistory {
-            retry_ages: recovered.further,
-            complete_for: recovered.known,
+            retry_ages: recovered.retry_ages,
+            complete_for: recovered.retries_complete_for,
             last_setup_age: ran,
             list_delay: late,
         }));
--- a/crates/session/src/history.rs
+++ b/crates/session/src/history.rs
@@ -6,8 +6,8 @@
 use crate::list::{ListUpdate, WireState};
 use crate::types::RejectReason;
 use cloverhollow::{ListMode, PeerReport, ServerId};
-use cloverhollow_recovery::ledger::{Bounds, Held};
-use cloverhollow_recovery::{digest, Deed, Paid, Recovered};
+use cloverhollow_recovery::ledger::{LedgerLimits, UnreleasedSession};
+use cloverhollow_recovery::{session_digest, LogRecord, PaidSessions, RecoveredState};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct FrontHistory {
     /// Paid sessions that may have been executed, in this incarnation or an earlier one. None is set up again here.
-    executed_paid: Paid,
+    executed_paid: PaidSessions,
     /// Maximum number of paid sessions remembered. `None` if nothing is passed on between incarnations.
     max_paid_sessions: Option<usize>,
     /// Time until which no paid session can be proven to be new.
@@ -30,7 +30,7 @@
     /// Recovered failed servers that the policy has not been told about yet.
     unreported_failures: BTreeSet<ServerId>,
     /// Sessions of the previous incarnation that servers may still hold.
-    unreleased: Vec<Held>,
+    unreleased: Vec<UnreleasedSession>,
 }
 
 /// Inserts a server into a set that has the bound of the log, and returns whether the server is new.
@@ -39,7 +39,7 @@
 /// set is full. It may then be logged once more, and the log keeps the record of it; both err on the safe side.
 fn insert_bounded(set: &mut BTreeSet<ServerId>, server: ServerId) -> bool {
     let is_new = set.insert(server);
-    if set.len() > Bounds::default().stopped {
+    if set.len() > LedgerLimits::default().servers {
         let dropped = set.iter().copied().find(|s| *s != server);
         dropped.map(|s| set.remove(&s));
     }
@@ -49,7 +49,7 @@
 impl FrontHistory {
     pub(crate) fn new(config: Option<&PersistenceConfig>) -> Self {
         FrontHistory {
-            executed_paid: Paid::default(),
+            executed_paid: PaidSessions::default(),
             max_paid_sessions: config.map(|c| c.max_paid_sessions),
             unproven_until: Duration::ZERO,
             stopped: BTreeSet::new(),
@@ -63,29 +63,30 @@
     ///
     /// Where records of paid sessions may be missing, paid sessions count as unproven for `max_wait`, the longest
     /// time that a paid viewer waits: after it, every viewer of the previous incarnation has given up.
-    pub(crate) fn restore(&mut self, now: Duration, recovered: &mut Recovered, max_wait: Duration) {
-        if recovered.trust.misses() {
+    pub(crate) fn restore(&mut self, now: Duration, recovered: &mut RecoveredState, max_wait: Duration) {
+        if recovered.trust.may_miss_records() {
             self.unproven_until = now + max_wait;
         }
         // The recovery applies the same bounds.
-        self.executed_paid = std::mem::take(&mut recovered.paid);
+        self.executed_paid = std::mem::take(&mut recovered.paid_sessions);
         self.stopped = std::mem::take(&mut recovered.stopped);
         self.unreported_failures.clone_from(&recovered.failed);
         self.failed = std::mem::take(&mut recovered.failed);
-        self.unreleased = std::mem::take(&mut recovered.held);
+        self.unreleased = std::mem::take(&mut recovered.unreleased);
     }
 
     /// Remembers a paid session that a server may have executed.
     pub(crate) fn record_executed(&mut self, sid: &str) {
         if let Some(max) = self.max_paid_sessions {
-            self.executed_paid.add(digest(sid), max);
+            self.executed_paid.insert(session_digest(sid), max);
         }
     }
 
     /// Returns whether a paid session is remembered as possibly executed, or may have been dropped at the bound.
     pub(crate) fn remembers_paid(&self, sid: &str) -> bool {
-        self.max_paid_sessions
-            .is_none_or(|max| self.executed_paid.has(digest(sid)) || self.executed_paid.iter().len() >= max)
+        self.max_paid_sessions.is_none_or(|max| {
+            self.executed_paid.contains(session_digest(sid)) || self.executed_paid.iter().len() >= max
+        })
     }
 
     /// Checks the bounds on all that is remembered.
@@ -93,11 +94,11 @@
         let bound =
             |what, held, max| ensure(held <= max, || InvariantViolation::HistoryBound { what, held, max });
         bound("paid sessions", self.executed_paid.iter().len(), self.max_paid_sessions.unwrap_or(0))?;
-        let bounds = Bounds::default();
-        bound("stopped servers", self.stopped.len(), bounds.stopped)?;
-        bound("failed servers", self.failed.len(), bounds.stopped)?;
-        bound("unreported failures", self.unreported_failures.len(), bounds.stopped)?;
-        bound("unreleased sessions", self.unreleased.len(), bounds.held)
+        let bounds = LedgerLimits::default();
+        bound("stopped servers", self.stopped.len(), bounds.servers)?;
+        bound("failed servers", self.failed.len(), bounds.servers)?;
+        bound("unreported failures", self.unreported_failures.len(), bounds.servers)?;
+        bound("unreleased sessions", self.unreleased.len(), bounds.unreleased)
     }
 
     /// Reason for which the history forbids setting a session up, if any (rule 2).
@@ -105,7 +106,7 @@
     /// A session that may have been executed is rejected. So is a paid one for which this cannot be told, after a
     /// start that proves nothing about the previous incarnation.
     pub(crate) fn rejects(&self, now: Duration, sid: &str, paid: bool) -> Option<RejectReason> {
-        if self.executed_paid.has(digest(sid)) {
+        if self.executed_paid.contains(session_digest(sid)) {
             return Some(RejectReason::AlreadySetUp);
         }
         (paid && now < self.unproven_until).then_some(RejectReason::HistoryUnknown)
@@ -131,7 +132,7 @@
         &mut self,
         update: &ListUpdate,
         stopped: &BTreeSet<ServerId>,
-    ) -> Vec<Deed> {
+    ) -> Vec<LogRecord> {
         let mut records = Vec::new();
         if self.max_paid_sessions.is_none() {
             return records;
@@ -140,24 +141,24 @@
             let serving = update.entries.iter().filter(|e| e.state == WireState::Serving);
             for server in serving.map(|e| e.id) {
                 if self.stopped.remove(&server) {
-                    records.push(Deed::Listed { server, serves: true });
+                    records.push(LogRecord::ServerListed { server, accepts_sessions: true });
                 }
             }
         }
         for server in stopped.iter().copied() {
             if insert_bounded(&mut self.stopped, server) {
-                records.push(Deed::Listed { server, serves: false });
+                records.push(LogRecord::ServerListed { server, accepts_sessions: false });
             }
         }
         records
     }
 
     /// Records how an attempt or a session at a server ended. Returns a log record if the server's state changed.
-    pub(crate) fn record_outcome(&mut self, server: ServerId, worked: bool) -> Option<Deed> {
+    pub(crate) fn record_outcome(&mut self, server: ServerId, worked: bool) -> Option<LogRecord> {
         self.max_paid_sessions?;
         let changed =
             if worked { self.failed.remove(&server) } else { insert_bounded(&mut self.failed, server) };
-        changed.then_some(Deed::Failed { server, failed: !worked })
+        changed.then_some(LogRecord::ServerFailure { server, failed: !worked })
     }
 
     /// Takes the recovered failures of servers that are listed by now, as reports for the policy.
@@ -185,7 +186,7 @@
         &mut self,
         whole_list: bool,
         address: impl Fn(ServerId) -> Option<A>,
-    ) -> Vec<(A, Held)> {
+    ) -> Vec<(A, UnreleasedSession)> {
         let mut releases = Vec::new();
         for held in std::mem::take(&mut self.unreleased) {
             match address(held.server) {
--- a/crates/session/src/types/commands.rs
+++ b/crates/session/src/types/commands.rs
@@ -4,7 +4,7 @@
 use crate::routes::Route;
 use cloverhollow::ServerId;
 use cloverhollow_knowledge::{Level, MergeError};
-use cloverhollow_recovery::Deed;
+use cloverhollow_recovery::LogRecord;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     /// True if the set-up must take effect at most once.
     pub paid: bool,
     /// Record to persist before the first byte of the request is sent; `None` if nothing must be persisted.
-    pub log_record: Option<Deed>,
+    pub log_record: Option<LogRecord>,
     /// Time from now after which the core cancels the attempt if no answer has arrived.
     pub timeout: Duration,
     /// Time, on the core's clock, after which the request must not be sent any more.
@@ -106,7 +106,7 @@
         answer: Answer<B>,
     },
     /// Append a record to the write-ahead log. Nothing waits for the write.
-    Persist(Deed),
+    Persist(LogRecord),
     /// Tell a server that a session has ended, so that it frees what it may hold for it.
     Release {
         /// Address of the server.
--- a/crates/session/src/types/inputs.rs
+++ b/crates/session/src/types/inputs.rs
@@ -5,7 +5,7 @@
 use cloverhollow::{RequestId, ServerId, SessionReport, SessionRequest, TitleId};
 use cloverhollow_hints::{Contradictions, Faults};
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_recovery::Recovered;
+use cloverhollow_recovery::RecoveredState;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -192,5 +192,5 @@
     PersistedKnowledge(Box<Message>),
     /// History recovered from the write-ahead logs of this front's earlier incarnations. Comes before any other
     /// input, or never.
-    Recovered(Box<Recovered>),
+    Recovered(Box<RecoveredState>),
 }
--- a/crates/session/tests/common/mod.rs
+++ b/crates/session/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use cloverhollow::{ListMode, SessionPolicy};
 use cloverhollow_hints::cmcd::Record;
 use cloverhollow_hints::{reconcile, Faults};
-use cloverhollow_recovery::Deed;
+use cloverhollow_recovery::LogRecord;
 use cloverhollow_session::*;
 use cloverhollow_settings::FrontSettings;
 use std::sync::Arc;
@@ -73,7 +73,7 @@
 }
 
 /// What is taken down for later lives.
-pub fn kept(commands: &[Command<u32, &'static str>]) -> Vec<Deed> {
+pub fn kept(commands: &[Command<u32, &'static str>]) -> Vec<LogRecord> {
     let deed = |c: &Command<u32, &'static str>| match c {
         Command::Persist(deed) => Some(deed.clone()),
         _ => None,
--- a/crates/session/tests/lives.rs
+++ b/crates/session/tests/lives.rs
@@ -4,25 +4,26 @@
 
 use cloverhollow::{ListMode, SessionPolicy};
 use cloverhollow_recovery::{
-    digest, frame, recover, Boot, Bounds, Deed, Found, Recovered, Stamp, Trust, Why,
+    frame, recover, session_digest, BootId, DistrustReason, FoundLog, LedgerLimits, LogRecord,
+    RecoveredState, Timestamp, Trust,
 };
 use cloverhollow_session::*;
 use common::*;
 use std::time::Duration;
 
 /// Deeds of a life, as a killed process leaves them, read by the next one `gone_ms` after the last of them.
-fn next_life(deeds: &[Deed], gone_ms: u64) -> Recovered {
-    let stamp = |ms: u64| Stamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
+fn next_life(deeds: &[LogRecord], gone_ms: u64) -> RecoveredState {
+    let stamp = |ms: u64| Timestamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
     let mut bytes = frame::MAGIC.to_vec();
-    frame::encode(stamp(0), &Deed::Began { boot: Boot(1) }, &mut bytes).unwrap();
+    frame::encode(stamp(0), &LogRecord::IncarnationStarted { boot: BootId(1) }, &mut bytes).unwrap();
     deeds.iter().for_each(|d| frame::encode(stamp(1), d, &mut bytes).unwrap());
-    let found = Found { bytes: Some(&bytes), changed_ms: stamp(1).wall_ms, ran_before: true };
-    recover(found, Boot(1), stamp(1 + gone_ms), &Bounds::default()).1
+    let found = FoundLog { bytes: Some(&bytes), changed_unix_ms: stamp(1).wall_ms, ran_before: true };
+    recover(found, BootId(1), stamp(1 + gone_ms), &LedgerLimits::default()).1
 }
 
-fn unproven() -> Recovered {
-    let found = Found { bytes: None, changed_ms: 0, ran_before: true };
-    recover(found, Boot(1), Stamp::default(), &Bounds::default()).1
+fn unproven() -> RecoveredState {
+    let found = FoundLog { bytes: None, changed_unix_ms: 0, ran_before: true };
+    recover(found, BootId(1), Timestamp::default(), &LedgerLimits::default()).1
 }
 
 fn with_ration(seed: u64) -> TestCore {
@@ -40,9 +41,18 @@
     core.step(DAY, [serving(2)]);
     let setup = sent(&core.step(DAY, [call(1, "one", "paid")]));
     let server = setup.server;
-    assert_eq!(setup.log_record, Some(Deed::Out { sid: "one".into(), server, paid: true, further: false }));
+    assert_eq!(
+        setup.log_record,
+        Some(LogRecord::AttemptStarted { sid: "one".into(), server, paid: true, is_retry: false })
+    );
     let commands = core.step(DAY + ms(5), [ended(setup.attempt, AttemptEnd::NotConnected)]);
-    assert_eq!(kept(&commands), [Deed::Failed { server, failed: true }, Deed::Unrun { sid: digest("one") }]);
+    assert_eq!(
+        kept(&commands),
+        [
+            LogRecord::ServerFailure { server, failed: true },
+            LogRecord::AttemptNotExecuted { sid: session_digest("one") }
+        ]
+    );
     // The next attempt is taken down again, after that.
     assert!(sent(&commands).log_record.is_some());
     let free = sent(&core.step(DAY + ms(9), [call(2, "two", "clip")]));
@@ -51,8 +61,9 @@
 
 #[test]
 fn a_paid_session_that_may_have_run_in_an_earlier_life_is_never_set_up_again() {
-    let out = |sid: &str| Deed::Out { sid: sid.into(), server: 1, paid: true, further: false };
-    let deeds = [out("ran"), out("never"), Deed::Unrun { sid: digest("never") }];
+    let out =
+        |sid: &str| LogRecord::AttemptStarted { sid: sid.into(), server: 1, paid: true, is_retry: false };
+    let deeds = [out("ran"), out("never"), LogRecord::AttemptNotExecuted { sid: session_digest("never") }];
     let mut core = core();
     core.step(DAY, [Input::Recovered(Box::new(next_life(&deeds, 50))), serving(2)]);
     // Its player asks again with the same session, as at its start.
@@ -65,7 +76,7 @@
 
 #[test]
 fn what_a_dead_life_left_at_servers_is_let_go_of() {
-    let out = Deed::Out { sid: "left".into(), server: 2, paid: true, further: false };
+    let out = LogRecord::AttemptStarted { sid: "left".into(), server: 2, paid: true, is_retry: false };
     let mut core = core();
     let commands = core.step(DAY, [Input::Recovered(Box::new(next_life(&[out], 50)))]);
     assert!(commands.is_empty(), "no address is known yet");
@@ -79,13 +90,13 @@
     core.step(DAY, [serving(2)]);
     let drain = list(ListMode::Patch, vec![server(1, WireState::Draining)]);
     let deeds = kept(&core.step(DAY + ms(1), [drain]));
-    assert_eq!(deeds, [Deed::Listed { server: 1, serves: false }]);
+    assert_eq!(deeds, [LogRecord::ServerListed { server: 1, accepts_sessions: false }]);
     let back = list(ListMode::Patch, vec![server(1, WireState::Serving)]);
     let told_back = kept(&core.step(DAY + ms(2), [back]));
-    assert_eq!(told_back, [Deed::Listed { server: 1, serves: true }]);
+    assert_eq!(told_back, [LogRecord::ServerListed { server: 1, accepts_sessions: true }]);
     // Killed before the list with the drain was kept: the next life has the list from before it.
     let stale = || list(ListMode::Stale, vec![server(1, WireState::Serving), server(2, WireState::Serving)]);
-    let sends_to = |deeds: &[Deed]| {
+    let sends_to = |deeds: &[LogRecord]| {
         let mut core = common::core();
         core.step(DAY, [Input::Recovered(Box::new(next_life(deeds, 50))), stale()]);
         let calls = (1..9).map(|v| call(v, &format!("s{v}"), "clip"));
@@ -102,8 +113,8 @@
 
 #[test]
 fn a_further_attempt_of_an_earlier_life_counts_and_one_too_old_to_send_is_marked() {
-    let further = Deed::Out { sid: "x".into(), server: 1, paid: false, further: true };
-    let tries = |recovered: Option<Recovered>| {
+    let further = LogRecord::AttemptStarted { sid: "x".into(), server: 1, paid: false, is_retry: true };
+    let tries = |recovered: Option<RecoveredState>| {
         let mut core = with_ration(3);
         // After an earlier life any server may be cold until the list must have told: a set-up goes by turn, and soon.
         let usual = if recovered.is_some() { ms(200) } else { ms(1_000) };
@@ -116,7 +127,7 @@
             _ => None,
         });
         if let Some((deed, until)) = &second {
-            assert!(matches!(deed, Some(Deed::Out { further: true, .. })));
+            assert!(matches!(deed, Some(LogRecord::AttemptStarted { is_retry: true, .. })));
             assert_eq!(*until, DAY + ms(105));
         }
         second.is_some()
@@ -131,7 +142,7 @@
 fn after_a_start_that_proves_nothing_paid_viewers_fail_for_a_deadline_and_others_play() {
     let mut core = core();
     let r = unproven();
-    assert_eq!(r.trust, Trust::Unproven(Why::Gone));
+    assert_eq!(r.trust, Trust::Unproven(DistrustReason::Missing));
     core.step(DAY, [Input::Recovered(Box::new(r)), serving(2)]);
     assert_eq!(words(&core.step(DAY + ms(1), [call(1, "one", "paid")])), ["1 failed unproven"]);
     let other = sent(&core.step(DAY + ms(1), [call(2, "two", "clip")]));
@@ -167,8 +178,8 @@
     let setup = sent(&core.step(DAY, [call(1, "one", "clip")]));
     let commands = core.step(DAY + ms(5), [ended(setup.attempt, AttemptEnd::Unanswered)]);
     let deeds = kept(&commands);
-    assert_eq!(deeds, [Deed::Failed { server: 1, failed: true }]);
-    let sent_at_once = |deeds: &[Deed]| {
+    assert_eq!(deeds, [LogRecord::ServerFailure { server: 1, failed: true }]);
+    let sent_at_once = |deeds: &[LogRecord]| {
         let mut core = common::core();
         core.step(DAY, [Input::Recovered(Box::new(next_life(deeds, 50))), serving(1)]);
         // Past the rest after a failure and the doubt after a return: what remains is that it may be cold.
@@ -178,7 +189,7 @@
     };
     assert_eq!(sent_at_once(&[]), 8);
     assert!(sent_at_once(&deeds) <= 1);
-    let worked = Deed::Failed { server: 1, failed: false };
+    let worked = LogRecord::ServerFailure { server: 1, failed: false };
     assert_eq!(sent_at_once(&[deeds, vec![worked]].concat()), 8);
 }
 
--- a/crates/session/tests/load/shell.rs
+++ b/crates/session/tests/load/shell.rs
@@ -5,7 +5,9 @@
 use crate::common::*;
 use cloverhollow::{ListMode, SessionPolicy, SessionReport};
 use cloverhollow_knowledge::Level;
-use cloverhollow_recovery::{frame, recover, Boot, Bounds, Deed, Found, Recovered, Stamp};
+use cloverhollow_recovery::{
+    frame, recover, BootId, FoundLog, LedgerLimits, LogRecord, RecoveredState, Timestamp,
+};
 use cloverhollow_session::*;
 use cloverhollow_settings::FrontSettings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,15 +57,19 @@
 }
 
 /// A life that heard of a drain and set a paid session up.
-fn earlier() -> Recovered {
-    let stamp = |ms: u64| Stamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
-    let paid = Deed::Out { sid: "s1".into(), server: 2, paid: true, further: false };
+fn earlier() -> RecoveredState {
+    let stamp = |ms: u64| Timestamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
+    let paid = LogRecord::AttemptStarted { sid: "s1".into(), server: 2, paid: true, is_retry: false };
     let mut bytes = frame::MAGIC.to_vec();
-    for deed in [Deed::Began { boot: Boot(1) }, paid, Deed::Listed { server: DRAINED, serves: false }] {
+    for deed in [
+        LogRecord::IncarnationStarted { boot: BootId(1) },
+        paid,
+        LogRecord::ServerListed { server: DRAINED, accepts_sessions: false },
+    ] {
         frame::encode(stamp(1), &deed, &mut bytes).unwrap();
     }
-    let found = Found { bytes: Some(&bytes), changed_ms: stamp(1).wall_ms, ran_before: true };
-    recover(found, Boot(1), stamp(50), &Bounds::default()).1
+    let found = FoundLog { bytes: Some(&bytes), changed_unix_ms: stamp(1).wall_ms, ran_before: true };
+    recover(found, BootId(1), stamp(50), &LedgerLimits::default()).1
 }
 
 impl Shell {
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store: kept over a stop; torn, garbled and foreign files are set aside and never trusted.
 
-use cloverhollow_store::{Keep, Kept};
+use cloverhollow_store::{PersistedState, Store};
 use std::path::PathBuf;
 
 fn file(name: &str) -> PathBuf {
@@ -10,55 +10,55 @@
     dir.join("front.keep")
 }
 
-fn kept(n: u8) -> Kept {
-    Kept { list: vec![n; 3000], knowledge: vec![n, n, n] }
+fn kept(n: u8) -> PersistedState {
+    PersistedState { list: vec![n; 3000], knowledge: vec![n, n, n] }
 }
 
 #[test]
 fn what_is_put_is_there_after_a_stop_and_the_last_pair_counts() {
     let path = file("stop");
-    let opened = Keep::open(&path).unwrap();
-    assert!(opened.kept.is_none() && opened.set_aside.is_none());
+    let opened = Store::open(&path).unwrap();
+    assert!(opened.state.is_none() && opened.quarantined.is_none());
     for n in 0..20 {
-        opened.keep.put(&kept(n)).unwrap();
+        opened.store.save(&kept(n)).unwrap();
     }
     drop(opened);
-    assert_eq!(Keep::open(&path).unwrap().kept, Some(kept(19)));
+    assert_eq!(Store::open(&path).unwrap().state, Some(kept(19)));
 }
 
 #[test]
 fn a_process_that_ends_without_closing_leaves_the_last_pair() {
     let path = file("crash");
-    let opened = Keep::open(&path).unwrap();
-    opened.keep.put(&kept(7)).unwrap();
+    let opened = Store::open(&path).unwrap();
+    opened.store.save(&kept(7)).unwrap();
     // As a kill leaves it: the file as it stands on the disk, never closed.
     let copy = path.with_extension("copy");
     std::fs::copy(&path, &copy).unwrap();
-    assert_eq!(Keep::open(&copy).unwrap().kept, Some(kept(7)));
+    assert_eq!(Store::open(&copy).unwrap().state, Some(kept(7)));
 }
 
 #[test]
 fn torn_and_garbled_files_give_what_was_written_or_are_set_aside() {
     let path = file("torn");
-    let opened = Keep::open(&path).unwrap();
-    opened.keep.put(&kept(1)).unwrap();
-    opened.keep.put(&kept(2)).unwrap();
+    let opened = Store::open(&path).unwrap();
+    opened.store.save(&kept(1)).unwrap();
+    opened.store.save(&kept(2)).unwrap();
     drop(opened);
     let whole = std::fs::read(&path).unwrap();
     let (mut trusted, mut aside) = (0, 0);
     let mut look = |bytes: &[u8], what: &str| {
         let broken = path.with_extension("broken");
         std::fs::write(&broken, bytes).unwrap();
-        let opened = Keep::open(&broken).unwrap_or_else(|e| panic!("{what}: {e}"));
-        match opened.kept {
+        let opened = Store::open(&broken).unwrap_or_else(|e| panic!("{what}: {e}"));
+        match opened.state {
             Some(k) => {
                 assert!(k == kept(1) || k == kept(2), "{what}: something else is trusted");
                 trusted += 1;
             }
-            None => aside += usize::from(opened.set_aside.is_some()),
+            None => aside += usize::from(opened.quarantined.is_some()),
         }
         // Either way it can be written from here on.
-        opened.keep.put(&kept(3)).unwrap();
+        opened.store.save(&kept(3)).unwrap();
     };
     for cut in (0..whole.len()).step_by(whole.len() / 24 + 1) {
         look(&whole[..cut], &format!("cut at {cut}"));
@@ -75,5 +75,5 @@
 
 #[test]
 fn a_folder_that_is_not_there_is_an_error_and_no_panic() {
-    assert!(Keep::open(std::path::Path::new("/nowhere/at/all.keep")).is_err());
+    assert!(Store::open(std::path::Path::new("/nowhere/at/all.keep")).is_err());
 }
