--- a/crates/session/src/core/attempts.rs
+++ b/crates/session/src/core/attempts.rs
@@ -126,8 +126,14 @@
             self.commands
                 .push(Command::Persist(LogRecord::AttemptNotExecuted { sid: session_digest(&session.sid) }));
         }
-        let ended =
-            Event::AttemptEnded(attempt.request, attempt.number, server, outcome, abandoned, load.report());
+        let ended = Event::AttemptEnded(
+            attempt.request,
+            attempt.number,
+            server,
+            outcome,
+            abandoned,
+            load.to_load_report(),
+        );
         self.events.push(ended);
         if abandoned {
             let (waiting, paid_executed) = (
