--- a/crates/session/tests/load/harness.rs
+++ b/crates/session/tests/load/harness.rs
@@ -5,9 +5,7 @@
 use crate::common::*;
 use cloverhollow::{ListMode, SessionPolicy, SessionReport};
 use cloverhollow_knowledge::Level;
-use cloverhollow_recovery::{
-    frame, recover, BootId, FoundLog, LedgerLimits, LogRecord, RecoveredState, Timestamp,
-};
+use cloverhollow_recovery::*;
 use cloverhollow_session::*;
 use cloverhollow_settings::FrontSettings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,11 +62,8 @@
     let stamp = |ms: u64| Timestamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
     let paid = LogRecord::AttemptStarted { sid: "s1".into(), server: 2, paid: true, is_retry: false };
     let mut bytes = frame::MAGIC.to_vec();
-    for record in [
-        LogRecord::IncarnationStarted { boot: BootId(1) },
-        paid,
-        LogRecord::ServerListed { server: DRAINED, accepts_sessions: false },
-    ] {
+    let drained = LogRecord::ServerListed { server: DRAINED, accepts_sessions: false };
+    for record in [LogRecord::IncarnationStarted { boot: BootId(1) }, paid, drained] {
         frame::encode(stamp(1), &record, &mut bytes).unwrap();
     }
     let found = FoundLog { bytes: Some(&bytes), changed_unix_ms: stamp(1).wall_ms, ran_before: true };
