--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -111,7 +111,7 @@
     sigterm: &mut Signal,
     sigint: &mut Signal,
 ) {
-    let (name, wait) = (settings.instance.name.as_str(), settings.out.wait_ms.get());
+    let (name, wait) = (settings.instance.name.as_str(), settings.out_of_service.max_wait_ms.get());
     let mut signalled = false;
     loop {
         if !signalled {
--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -12,7 +12,7 @@
 /// Takes connections, `listen.connections` at a time; one past them gets 503 at once.
 /// While the front is closed after deaths, each gets 503 with when to come back.
 pub(crate) async fn accept(listener: TcpListener, shared: Arc<Shared>, state: Arc<side::State>) {
-    let room = Arc::new(Semaphore::new(shared.settings.listen.connections.count()));
+    let room = Arc::new(Semaphore::new(shared.settings.listen.max_connections.as_usize()));
     let turning = Arc::new(Semaphore::new(TURNED_AWAY));
     // Dropped with this future, and the connections' tasks with it.
     let mut connections = tokio::task::JoinSet::new();
--- a/crates/front/src/discovery.rs
+++ b/crates/front/src/discovery.rs
@@ -33,7 +33,7 @@
 /// that fronts that lost one service together do not come back together.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let settings = &shared.settings.discovery;
-    let mut wait = settings.again_ms.get();
+    let mut wait = settings.min_retry_delay_ms.get();
     loop {
         let mut heard = false;
         let broken = stream(&shared, &mut heard).await;
@@ -41,7 +41,11 @@
         if shared.desk.send(Mail::list(ListUpdate::broken())).await.is_err() {
             return;
         }
-        wait = if heard { settings.again_ms.get() } else { (wait * 2).min(settings.again_most_ms.get()) };
+        wait = if heard {
+            settings.min_retry_delay_ms.get()
+        } else {
+            (wait * 2).min(settings.max_retry_delay_ms.get())
+        };
         let jitter = 0.5 + fastrand::f64() / 2.0;
         tokio::time::sleep(wait.mul_f64(jitter)).await;
     }
@@ -56,7 +60,7 @@
 
 async fn listen(shared: &Shared, heard: &mut bool) -> Result<(), Broken> {
     let settings = &shared.settings.discovery;
-    let silent: Duration = settings.silent_ms.get();
+    let silent: Duration = settings.silence_timeout_ms.get();
     let within = |d| timeout(silent, d);
     let conn = within(connect(settings.address)).await.map_err(|_| Broken::Silent)?;
     let mut conn = conn.map_err(Broken::Connect)?;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -124,7 +124,7 @@
         let loaded = save::load(&settings).await;
         let lives = lives::read(&settings, found, loaded.was_there);
         let listener = bind("listen.address", settings.listen.address).await?;
-        let side = match settings.side.address {
+        let side = match settings.admin.address {
             Some(address) => Some(bind("side.address", address).await?),
             None => None,
         };
@@ -188,14 +188,14 @@
             // It ends by itself too: a write that is under way is waited for.
             tasks.spawn(out::keep(fleet.clone(), stop.clone()));
             // Stops by itself: it leaves with a word.
-            tasks.spawn(members::run(fleet, socket, settings.members.sync_ms.get(), stop.clone()));
+            tasks.spawn(members::run(fleet, socket, settings.members.sync_interval_ms.get(), stop.clone()));
         }
         if let Some(side) = side {
             tasks.spawn(until(stop.clone(), side::run(side, shared.clone(), state.clone())));
         }
         // Connections wait in the listener's queue meanwhile. Guards against the first moment of a front that
         // comes back: its last list may name servers that have drained since.
-        let hold = settings.peers.hold_ms.get();
+        let hold = settings.peers.max_hold_ms.get();
         let journal = shared.journal.clone();
         tasks.spawn(until(stop.clone(), async move {
             // Drains that the last life heard may be lost: then the list is waited for.
--- a/crates/front/src/lives.rs
+++ b/crates/front/src/lives.rs
@@ -4,7 +4,7 @@
 use crate::journal::{Journal, Rules};
 use cloverhollow_recovery::backoff::Wait;
 use cloverhollow_recovery::{recover, Backoff, Bounds, Deed, Found, Recovered, Trust};
-use cloverhollow_settings::{FrontSettings, Outlives};
+use cloverhollow_settings::{Durability, FrontSettings};
 use cloverhollow_store::{beside, Paper, PaperError, PaperFile};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -34,7 +34,7 @@
 /// Another process of this front runs on: two lives at once would each spend the whole of every budget.
 /// Other errors are none: the front goes on without a paper, and takes nothing down.
 pub(crate) async fn open(settings: &FrontSettings) -> Result<Option<cloverhollow_store::Found>, PaperError> {
-    let Some(path) = settings.keep.file.as_deref().map(log_file_path) else { return Ok(None) };
+    let Some(path) = settings.persistence.file.as_deref().map(log_file_path) else { return Ok(None) };
     let opened = spawn_blocking(move || {
         let begun = Instant::now();
         loop {
@@ -64,24 +64,24 @@
     let Some(found) = found else { return without(settings) };
     let (paper, bytes, changed_ms) = (found.paper, found.bytes, found.changed_ms);
     let (boot, now) = (boot(), stamp());
-    let bounds = Bounds { paid: settings.sessions.spent.count(), ..Bounds::default() };
+    let bounds = Bounds { paid: settings.sessions.max_spent_sessions.as_usize(), ..Bounds::default() };
     let there = Found { bytes: bytes.as_deref(), changed_ms, ran_before };
     let (ledger, recovered) = recover(there, boot, now, &bounds);
     if let Trust::Unproven(why) = recovered.trust {
         let aside = paper.set_aside().map(|p| p.display().to_string()).unwrap_or_default();
         tracing::warn!(%why, aside, "earlier lives are not proven: what they may have spent counts as spent");
     }
-    let r = &settings.keep.restarts;
+    let r = &settings.persistence.restarts;
     let backoff = Backoff {
         window: r.window_ms.get(),
-        free: r.free.count(),
-        first: r.first_ms.get(),
-        most: r.most_ms.get(),
+        free: r.free_restarts.as_usize(),
+        first: r.min_delay_ms.get(),
+        most: r.max_delay_ms.get(),
     };
     let wait = backoff.wait(&ledger, boot, now);
     let rules = Rules {
-        sync: settings.keep.outlives == Outlives::Machine,
-        span: settings.rules.ration.as_ref().map_or(Duration::ZERO, |r| r.span_ms.get()),
+        sync: settings.persistence.durability == Durability::Machine,
+        span: settings.rules.retry_budget.as_ref().map_or(Duration::ZERO, |r| r.window_ms.get()),
         bounds,
     };
     let paper: Box<dyn Paper> = Box::new(paper);
@@ -91,7 +91,7 @@
 
 /// A front that keeps nothing, by its settings or because it cannot.
 fn without(settings: &FrontSettings) -> Lives {
-    let journal = match settings.keep.file {
+    let journal = match settings.persistence.file {
         None => Journal::none(),
         Some(_) => Journal::broken(),
     };
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -67,18 +67,18 @@
             keys.push(Key { id: k.id.get() as u32, secret });
         }
         let me = Who {
-            address: m.address.unwrap_or(bound),
+            address: m.advertised_address.unwrap_or(bound),
             side,
             name: settings.instance.name.as_str().into(),
-            hall: settings.instance.hall.as_str().into(),
+            hall: settings.instance.zone.as_str().into(),
             life: Life { number: unix_ms(), token: fastrand::u64(1..) },
         };
         let swim = SwimSettings {
-            probe: m.probe_ms.get(),
-            answer: m.answer_ms.get(),
-            suspicion: m.suspicion_ms.get(),
-            gossip: m.gossip_ms.get(),
-            heal: m.heal_ms.get(),
+            probe: m.probe_interval_ms.get(),
+            answer: m.probe_timeout_ms.get(),
+            suspicion: m.suspicion_timeout_ms.get(),
+            gossip: m.gossip_interval_ms.get(),
+            heal: m.reconnect_interval_ms.get(),
             seeds: m.seeds.clone(),
             ..SwimSettings::default()
         };
@@ -87,7 +87,7 @@
             me,
             keys,
             swim,
-            lease: m.lease_ms.get(),
+            lease: m.lease_duration_ms.get(),
             witnesses: m.witnesses.clone(),
             seed: fastrand::u64(..),
         };
--- a/crates/front/src/object.rs
+++ b/crates/front/src/object.rs
@@ -44,8 +44,8 @@
                 lose(route, shared).await;
                 return conn.fail(502, "unknown-session", shared).await;
             }
-            let settings = &shared.settings.reports;
-            let (every, short) = (settings.every_ms.get(), settings.short_every_ms.get());
+            let settings = &shared.settings.load_reports;
+            let (every, short) = (settings.interval_ms.get(), settings.short_delivery_interval_ms.get());
             if let Some(load) = route.report_throttle.take_due(shared.clock.now(), told.load, every, short) {
                 let (request, server) = (route.request, route.server);
                 // A desk that is behind can do without one reading.
@@ -53,7 +53,9 @@
             }
             relay(conn, head, told, lease, Some(route), begun, shared).await
         }
-        Err(Miss::Busy) => conn.refuse(shared.settings.limits.hold_off_ms.get(), "front-full", shared).await,
+        Err(Miss::Busy) => {
+            conn.refuse(shared.settings.limits.max_retry_after_ms.get(), "front-full", shared).await
+        }
         Err(Miss::Lost { late }) => {
             lose(route, shared).await;
             conn.fail(if late { 504 } else { 502 }, "session-lost", shared).await
@@ -80,7 +82,7 @@
             lease.conn().send_request(head, Bytes::new()).await?;
             lease.conn().read_head().await
         };
-        match timeout(shared.settings.servers.object_ms.get(), exchange).await {
+        match timeout(shared.settings.servers.head_timeout_ms.get(), exchange).await {
             Ok(Ok(head)) => return Ok((head, lease)),
             Ok(Err(_)) if lease.used => fresh = true,
             Ok(Err(_)) => return Err(Miss::Lost { late: false }),
@@ -103,10 +105,10 @@
     let hop = upstream::own_hop(shared, route, begun.elapsed().as_millis() as u32);
     let mut out = ResponseHead { keep_alive: conn.keep_alive, ..ResponseHead::new(head.status, 0) };
     out.framing = head.framing;
-    out.headers = head.headers.without(cmsd::DYNAMIC);
-    out.headers.push(cmsd::DYNAMIC, hop.append_to(&told.path));
+    out.headers = head.headers.without(cmsd::DYNAMIC_HEADER);
+    out.headers.push(cmsd::DYNAMIC_HEADER, hop.append_to(&told.path));
     out.headers.push("via", shared.via.clone());
-    let write = shared.settings.listen.write_ms.get();
+    let write = shared.settings.listen.write_timeout_ms.get();
     let passed = async {
         conn.framed.feed(ResponseFrame::Head(out)).await?;
         loop {
@@ -116,8 +118,11 @@
                 Some(data) => data?,
                 None => {
                     timeout(write, conn.framed.flush()).await.map_err(|_| late())??;
-                    let next =
-                        timeout(shared.settings.servers.body_ms.get(), lease.conn().read_body_chunk()).await;
+                    let next = timeout(
+                        shared.settings.servers.body_timeout_ms.get(),
+                        lease.conn().read_body_chunk(),
+                    )
+                    .await;
                     next.map_err(|_| late())??
                 }
             };
--- a/crates/front/src/out/kept.rs
+++ b/crates/front/src/out/kept.rs
@@ -8,7 +8,7 @@
 use super::Out;
 use crate::clock::boot;
 use cloverhollow_out::{Acceptor, PersistedState};
-use cloverhollow_settings::{FrontSettings, Outlives};
+use cloverhollow_settings::{Durability, FrontSettings};
 use cloverhollow_store::beside;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
@@ -43,8 +43,8 @@
 
 impl LeafFile {
     pub(super) fn of(settings: &FrontSettings) -> Option<LeafFile> {
-        let path = beside(settings.keep.file.as_deref()?, ".out");
-        Some(LeafFile { path, sync: settings.keep.outlives == Outlives::Machine })
+        let path = beside(settings.persistence.file.as_deref()?, ".out");
+        Some(LeafFile { path, sync: settings.persistence.durability == Durability::Machine })
     }
 
     /// What the last life left. What was not on the disk may be older than what went out before the machine fell:
--- a/crates/front/src/out/mod.rs
+++ b/crates/front/src/out/mod.rs
@@ -103,18 +103,21 @@
 impl Out {
     /// One that starts now, where permits are on. `me`: this front's datagrams' address; `life`: drawn at the start.
     pub(crate) fn open(settings: &FrontSettings, now: Duration, me: SocketAddr, life: u64) -> Option<Out> {
-        let (set, m) = (&settings.out, &settings.members);
-        if !set.is_on() {
+        let (set, m) = (&settings.out_of_service, &settings.members);
+        if !set.is_enabled() {
             return None;
         }
         let file = LeafFile::of(settings);
         let leaf = file.as_ref().map(LeafFile::read).unwrap_or_default();
-        let (lease, witnesses) = (set.lease_ms.get(), m.witnesses.clone());
+        let (lease, witnesses) = (set.permit_duration_ms.get(), m.witnesses.clone());
         let is_witness = witnesses.contains(&me);
-        let most =
-            MaxOutOfService { fleet: set.fleet.value as u16, zone: set.hall.get() as u16, rack: u16::MAX };
+        let most = MaxOutOfService {
+            fleet: set.max_in_fleet.value as u16,
+            zone: set.max_in_zone.get() as u16,
+            rack: u16::MAX,
+        };
         let none = MaxOutOfService { fleet: 0, zone: 0, rack: 0 };
-        let unsure_ms = m.suspicion_ms.get().as_millis() as u32;
+        let unsure_ms = m.suspicion_timeout_ms.get().as_millis() as u32;
         let asker = ProposerConfig {
             address: me,
             incarnation: life,
@@ -127,9 +130,9 @@
             me,
             life,
             subject: world::subject(settings.instance.name.as_str()),
-            place: world::place(settings.instance.hall.as_str()),
+            place: world::place(settings.instance.zone.as_str()),
             lease,
-            forget: set.forget_ms.get(),
+            forget: set.forget_after_ms.get(),
             witnesses,
             limits: Limits {
                 fronts: most,
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -65,15 +65,15 @@
 ) {
     let p = &shared.settings.peers;
     let set = WarmSettings {
-        parallel: p.parallel.count(),
-        enough: p.enough.count(),
-        hedge: p.hedge_ms.get(),
-        deadline: p.deadline_ms.get(),
-        jitter: p.jitter_ms.get(),
-        horizon: p.horizon_ms.get(),
+        parallel: p.parallel.as_usize(),
+        enough: p.sufficient_answers.as_usize(),
+        hedge: p.hedge_delay_ms.get(),
+        deadline: p.warm_start_timeout_ms.get(),
+        jitter: p.max_jitter_ms.get(),
+        horizon: p.max_age_ms.get(),
     };
     let warmer = Warmer::new(shared.clock.now(), set, fastrand::u64(..), me, &p.addresses);
-    let every = Some(p.every_ms.get()).filter(|e| !e.is_zero());
+    let every = Some(p.poll_interval_ms.get()).filter(|e| !e.is_zero());
     let mut peers = Peers {
         state,
         me,
@@ -116,7 +116,7 @@
         self.shared.stats.peer_requests.fetch_add(1, Relaxed);
         let (shared, me) = (self.shared.clone(), self.me);
         self.questions.spawn(async move {
-            let within = shared.settings.peers.deadline_ms.get();
+            let within = shared.settings.peers.warm_start_timeout_ms.get();
             let got = timeout(within, question(&shared, me, ask, after)).await;
             (ask.peer, got.unwrap_or(Got::Failed))
         });
@@ -226,7 +226,7 @@
             return Err(bad("refused"));
         }
     }
-    *tag = head.headers.text("etag").map(str::to_string);
+    *tag = head.headers.get_str("etag").map(str::to_string);
     while let Some(data) = conn.read_body_chunk().await? {
         if bytes.len() + data.len() > MOST_BYTES {
             *tag = None;
@@ -238,7 +238,7 @@
 }
 
 fn hold_off(head: &ResponseHead) -> Duration {
-    let number = |name: &str| head.headers.text(name).and_then(|t| t.parse::<u64>().ok());
+    let number = |name: &str| head.headers.get_str(name).and_then(|t| t.parse::<u64>().ok());
     let ms = number(HOLD_OFF).or_else(|| number("retry-after").map(|s| s * 1000)).unwrap_or(1000);
     Duration::from_millis(ms.min(60_000))
 }
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -48,9 +48,9 @@
     pub(crate) fn new(settings: &Servers) -> Self {
         Pools {
             map: papaya::HashMap::new(),
-            most: settings.connections.count(),
-            connect: settings.connect_ms.get(),
-            idle: settings.idle_ms.get(),
+            most: settings.max_connections.as_usize(),
+            connect: settings.connect_timeout_ms.get(),
+            idle: settings.idle_timeout_ms.get(),
         }
     }
 
--- a/crates/front/src/release.rs
+++ b/crates/front/src/release.rs
@@ -6,7 +6,7 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow::ServerId;
-use cloverhollow_hints::cmcd::{EventKind, PlayState, Record, REPORT_TYPE};
+use cloverhollow_hints::cmcd::{EventKind, PlayState, Record, REPORT_MIME_TYPE};
 use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_session::SessionId;
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
         let queue = match known {
             Some((_, tx)) => tx.clone(),
             None => {
-                let (tx, rx) = mpsc::channel(self.shared.settings.servers.releases.count());
+                let (tx, rx) = mpsc::channel(self.shared.settings.servers.max_pending_releases.as_usize());
                 tokio::spawn(run(server, address, rx, self.shared.clone()));
                 self.servers.insert(server, (address, tx.clone()));
                 tx
@@ -64,21 +64,21 @@
                 v: Some(2),
                 ..Record::default()
             };
-            record.line() + "\n"
+            record.to_line() + "\n"
         };
         let body: String = batch.drain(..).map(|sid| line(&sid)).collect();
-        let Some(target) = Target::parse(shared.settings.mapping.reports.clone().into()) else { return };
+        let Some(target) = Target::parse(shared.settings.mapping.report_path.clone().into()) else { return };
         let mut head = RequestHead::post(target, body.len());
         head.headers.push("host", address.to_string());
         head.headers.push("via", shared.via.clone());
-        head.headers.push("content-type", REPORT_TYPE);
+        head.headers.push("content-type", REPORT_MIME_TYPE);
         let told = async {
             let mut lease = shared.pools.lease(server, address, false).await.ok()?;
             lease.conn().exchange(head, Bytes::from(body), MOST_ANSWER).await.ok()?;
             lease.give_back();
             Some(())
         };
-        let within = shared.settings.servers.object_ms.get();
+        let within = shared.settings.servers.head_timeout_ms.get();
         if timeout(within, told).await.ok().flatten().is_none() {
             tracing::debug!(server, "could not tell ends of sessions");
         }
--- a/crates/front/src/save.rs
+++ b/crates/front/src/save.rs
@@ -34,8 +34,8 @@
 
 /// Opens the store.
 pub(crate) async fn load(settings: &FrontSettings) -> Loaded {
-    let Some(path) = settings.keep.file.clone() else { return Loaded::default() };
-    let cold = settings.rules.cold_ms.get();
+    let Some(path) = settings.persistence.file.clone() else { return Loaded::default() };
+    let cold = settings.rules.warm_up_ms.get();
     let read = spawn_blocking(move || {
         let file = path.display().to_string();
         let was_there = path.exists();
@@ -75,7 +75,7 @@
 ) -> watch::Sender<Option<SavedList>> {
     let (tx, mut rx) = watch::channel(None);
     let Some(keep) = keep else { return tx };
-    let (stop, every) = (stop.clone(), settings.keep.knowledge_ms.get());
+    let (stop, every) = (stop.clone(), settings.persistence.knowledge_interval_ms.get());
     let keep = Arc::new(keep);
     tasks.spawn(async move {
         let mut seq = 0;
--- a/crates/front/src/side.rs
+++ b/crates/front/src/side.rs
@@ -59,7 +59,7 @@
             open_ms: AtomicU64::new(0),
             level: Mutex::new((Level::Cold, Why::NotBegun)),
             peers: Mutex::new(settings.addresses.iter().copied().collect()),
-            feeds: Mutex::new(Feeds::new(settings.feeds.count(), settings.hold_off_ms.get())),
+            feeds: Mutex::new(Feeds::new(settings.max_feeds.as_usize(), settings.retry_after_ms.get())),
             fleet,
         }
     }
--- a/crates/front/src/side/feed.rs
+++ b/crates/front/src/side/feed.rs
@@ -21,7 +21,7 @@
 
 /// A member asks for all that this one holds of the others.
 pub(super) async fn tell_members(conn: &mut ServerConn, request: &RequestHead, state: &State) {
-    let nonce = request.target.argument(members::NONCE).and_then(|t| t.parse::<u64>().ok());
+    let nonce = request.target.query_argument(members::NONCE).and_then(|t| t.parse::<u64>().ok());
     let body = nonce.and_then(|nonce| state.fleet.as_ref()?.records(nonce));
     let status = if body.is_some() { 200 } else { 404 };
     let body = body.unwrap_or_default();
@@ -30,7 +30,7 @@
 
 /// A peer asks: the whole, a delta, or the rest of what was cut off.
 pub(super) async fn knowledge(conn: &mut ServerConn, request: &RequestHead, shared: &Shared, state: &State) {
-    let number = |name: &str| request.target.argument(name).and_then(|t| t.parse::<u64>().ok());
+    let number = |name: &str| request.target.query_argument(name).and_then(|t| t.parse::<u64>().ok());
     let Some(nonce) = number(NONCE) else { return say(conn, ResponseHead::new(400, 0), Bytes::new()).await };
     if number(FORMAT_ARG) != Some(wire::FORMAT.into()) {
         return say(conn, ResponseHead::new(406, 0), Bytes::new()).await;
@@ -45,14 +45,14 @@
     let _feeding = Feeding(state);
     shared.stats.peer_responses.fetch_add(1, Relaxed);
     let now = shared.clock.now();
-    let text = |name: &str| request.headers.text(name);
+    let text = |name: &str| request.headers.get_str(name);
     let tag = text("if-range").and_then(|t| t.trim_matches('"').parse().ok());
     let from = text("range").and_then(|r| r.strip_prefix("bytes=")?.strip_suffix('-')?.parse::<usize>().ok());
     let kept = tag.and_then(|tag| lock(&state.feeds).kept(now, tag));
     let (status, kept, from) = match (kept, from) {
         (Some(kept), Some(from)) if from <= kept.bytes.len() => (206, kept, from),
         _ => {
-            if let Some(peer) = request.target.argument(FROM).and_then(|a| a.parse().ok()) {
+            if let Some(peer) = request.target.query_argument(FROM).and_then(|a| a.parse().ok()) {
                 state.set_peers(vec![peer]);
             }
             let peers = lock(&state.peers).iter().copied().take(MOST_PEERS).collect();
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -2,7 +2,7 @@
 
 use crate::pool::Lease;
 use crate::Shared;
-use cloverhollow_hints::cmcd::{Custom, Kbps, Record, Value};
+use cloverhollow_hints::cmcd::{CustomKey, CustomValue, Kbps, Record};
 use cloverhollow_hints::cmsd::{self, Hop};
 use cloverhollow_hints::{Faults, Group};
 use cloverhollow_http::{RequestHead, ResponseHead, Target};
@@ -45,14 +45,14 @@
     hints.tb = hints.tb.filter(|tb| tb.0 >= kbps);
     hints.custom.retain(|c| !c.key.starts_with(OWN_PREFIX));
     if let Some(number) = setup {
-        let value = Value::Plain(number.to_string().into());
-        hints.custom.push(Custom { key: SETUP_KEY.into(), value });
+        let value = CustomValue::Unquoted(number.to_string().into());
+        hints.custom.push(CustomKey { key: SETUP_KEY.into(), value });
     }
     let mut head = RequestHead::get(ask.target.clone());
     head.headers.push("host", address.to_string());
     head.headers.push("via", shared.via.clone());
     for group in Group::ALL {
-        let text = hints.header(group);
+        let text = hints.to_header(group);
         if !text.is_empty() {
             head.headers.push(group.header(), text);
         }
@@ -84,17 +84,18 @@
 
 /// Reads `CMSD-Dynamic`; the last member is the server's that we asked.
 pub(crate) fn told(head: &ResponseHead, kbps: u32) -> Told {
-    let Some(path) = head.headers.joined(cmsd::DYNAMIC) else { return Told::default() };
+    let Some(path) = head.headers.joined(cmsd::DYNAMIC_HEADER) else { return Told::default() };
     let mut faults = Faults::default();
     let hops = cmsd::read_dynamic(&path, &mut faults);
     if faults.total() > 0 {
         tracing::debug!(dropped = %faults, "server hints dropped");
     }
     let Some(hop) = hops.into_iter().next_back() else { return Told::default() };
-    let share = hop.throughput.filter(|_| kbps > 0).map(|etp| (f64::from(etp) / f64::from(kbps)).min(1.0));
+    let share =
+        hop.throughput_kbps.filter(|_| kbps > 0).map(|etp| (f64::from(etp) / f64::from(kbps)).min(1.0));
     Told {
-        load: Load { link: hop.link, rack: hop.rack, share },
-        unrun: hop.unrun,
+        load: Load { link: hop.link_utilization, rack: hop.rack_utilization, share },
+        unrun: hop.not_executed,
         unknown: hop.reason.as_deref() == Some(UNKNOWN_SESSION),
         path,
     }
@@ -104,8 +105,8 @@
 pub(crate) fn own_hop(shared: &Shared, route: Option<&Route>, delay_ms: u32) -> Hop {
     Hop {
         name: shared.settings.instance.name.as_str().into(),
-        delay: Some(delay_ms),
-        most: route.map(Route::kbps),
+        response_delay_ms: Some(delay_ms),
+        max_bitrate_kbps: route.map(Route::kbps),
         rung: route.map(|r| r.rung() as u32),
         ..Hop::default()
     }
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -6,7 +6,7 @@
 use crate::object;
 use crate::upstream::{self, Ask, Told};
 use crate::Shared;
-use cloverhollow_hints::cmcd::{self, Record, REPORT_TYPE};
+use cloverhollow_hints::cmcd::{self, Record, REPORT_MIME_TYPE};
 use cloverhollow_hints::cmsd;
 use cloverhollow_hints::{reconcile, Faults, Group};
 use cloverhollow_http::{percent_decode, Limits, Method, RequestFrame, RequestHead, ResponseHead};
@@ -41,12 +41,12 @@
     fn new(stream: TcpStream, shared: &Shared) -> Self {
         let listen = &shared.settings.listen;
         let limits = Limits {
-            head_bytes: listen.head_bytes.count(),
-            headers: listen.header_lines.count(),
+            max_head_bytes: listen.max_head_bytes.as_usize(),
+            max_headers: listen.max_headers.as_usize(),
             ..Limits::default()
         };
         let framed = Framed::with_capacity(stream, ServerCodec::new(limits), 2048);
-        ViewerConn { framed, keep_alive: true, write: listen.write_ms.get() }
+        ViewerConn { framed, keep_alive: true, write: listen.write_timeout_ms.get() }
     }
 
     /// Whether to go on, after a whole answer.
@@ -92,7 +92,7 @@
             head.headers.push("retry-after", after.as_secs_f64().ceil().to_string());
         }
         let hop = cmsd::Hop { reason: Some(reason.into()), ..upstream::own_hop(shared, None, 0) };
-        head.headers.push(cmsd::DYNAMIC, hop.write());
+        head.headers.push(cmsd::DYNAMIC_HEADER, hop.serialize());
         self.send(head, "").await
     }
 
@@ -123,12 +123,12 @@
     loop {
         if conn.framed.read_buffer().is_empty() {
             let mut byte = [0];
-            let first = timeout(listen.idle_ms.get(), conn.framed.get_ref().peek(&mut byte)).await;
+            let first = timeout(listen.idle_timeout_ms.get(), conn.framed.get_ref().peek(&mut byte)).await;
             if !matches!(first, Ok(Ok(n)) if n > 0) {
                 return; // idle for too long, closed or broken
             }
         }
-        let head = match timeout(listen.head_ms.get(), conn.framed.next()).await {
+        let head = match timeout(listen.head_timeout_ms.get(), conn.framed.next()).await {
             Ok(Some(Ok(RequestFrame::Head(head)))) => head,
             Ok(Some(Err(WireError::Malformed(m)))) => {
                 tracing::debug!(error = %m, "malformed request");
@@ -138,8 +138,8 @@
             Ok(_) => return,
         };
         conn.keep_alive = head.keep_alive;
-        let body =
-            timeout(listen.head_ms.get(), read_body(&mut conn.framed, listen.report_bytes.count())).await;
+        let max_bytes = listen.max_report_bytes.as_usize();
+        let body = timeout(listen.head_timeout_ms.get(), read_body(&mut conn.framed, max_bytes)).await;
         let refused = match body {
             Ok(Ok(Some(body))) => {
                 if request(&mut conn, head, body, port, &shared).await == Flow::Close {
@@ -164,7 +164,7 @@
     shared: &Arc<Shared>,
 ) -> Flow {
     match head.method {
-        Method::Post if head.target.path() == shared.settings.mapping.reports => {
+        Method::Post if head.target.path() == shared.settings.mapping.report_path => {
             reports(conn, &head, body, shared).await
         }
         Method::Get => object(conn, head, port, shared).await,
@@ -174,7 +174,7 @@
 
 /// Event and response reports of players (CTA-5004-A): they tell that a session lives or is over.
 async fn reports(conn: &mut ViewerConn, head: &RequestHead, body: Vec<u8>, shared: &Shared) -> Flow {
-    let wanted = head.headers.text("content-type").is_none_or(|t| t.trim().starts_with(REPORT_TYPE));
+    let wanted = head.headers.get_str("content-type").is_none_or(|t| t.trim().starts_with(REPORT_MIME_TYPE));
     let Some(body) = String::from_utf8(body).ok().filter(|_| wanted) else { return conn.plain(400).await };
     let mut faults = Faults::default();
     for record in cmcd::read_reports(&body, &mut faults) {
@@ -201,14 +201,14 @@
     let mut faults = Faults::default();
     let (mut headers, mut query) = (Record::default(), Record::default());
     for group in Group::ALL {
-        for line in head.headers.all(group.header()) {
+        for line in head.headers.get_all(group.header()) {
             match std::str::from_utf8(line) {
                 Ok(text) => headers.read_header(group, text, &mut faults),
                 Err(_) => faults.add(cloverhollow_hints::Fault::Malformed),
             }
         }
     }
-    if let Some(text) = head.target.argument(cmcd::QUERY) {
+    if let Some(text) = head.target.query_argument(cmcd::QUERY_PARAM) {
         match percent_decode(text) {
             Some(text) => query.read_query(&text, &mut faults),
             None => faults.add(cloverhollow_hints::Fault::Malformed),
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -74,7 +74,7 @@
 }
 
 fn text(head: &RequestHead, name: &str) -> String {
-    head.headers.text(name).unwrap_or_default().to_string()
+    head.headers.get_str(name).unwrap_or_default().to_string()
 }
 
 async fn serve(stream: TcpStream, does: Does, seen: Arc<Mutex<Vec<String>>>) {
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -35,7 +35,7 @@
                 let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
                 let Some(Ok(RequestFrame::Head(head))) = conn.next().await else { return };
                 let _ = read_body(&mut conn, 0).await;
-                let nonce = head.target.argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
+                let nonce = head.target.query_argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
                 let (out, body) = reply(count.fetch_add(1, Relaxed), nonce, &head);
                 // A head that promises more than is sent is a cut.
                 let _ = write_response(&mut conn, out, Bytes::from(body)).await;
@@ -111,7 +111,7 @@
     let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
     let cuts: Reply = Arc::new(|n, nonce, head| {
         let all = whole(nonce);
-        let text = |name: &str| head.headers.text(name).map(str::to_string);
+        let text = |name: &str| head.headers.get_str(name).map(str::to_string);
         if n == 0 {
             let (head, _) = ok(all.clone());
             return (ResponseHead { keep_alive: false, ..head }, all[..all.len() / 2].to_vec());
--- a/crates/hints/src/cmcd.rs
+++ b/crates/hints/src/cmcd.rs
@@ -5,15 +5,15 @@
 use crate::scan::{unescape, Raw, Scan};
 
 /// Name of the query argument that carries all groups together (CTA-5004, section 2.1).
-pub const QUERY: &str = "CMCD";
+pub const QUERY_PARAM: &str = "CMCD";
 /// Content type of event and response reports (CTA-5004-A, report modes).
-pub const REPORT_TYPE: &str = "application/cmcd";
+pub const REPORT_MIME_TYPE: &str = "application/cmcd";
 /// Most custom keys kept of one record.
-pub const MOST_CUSTOM: usize = 16;
+pub const MAX_CUSTOM_KEYS: usize = 16;
 /// Longest value of a custom key kept.
-pub const MOST_CUSTOM_VALUE: usize = 256;
+pub const MAX_CUSTOM_LENGTH: usize = 256;
 /// Most lines read of one report.
-pub const MOST_REPORTS: usize = 256;
+pub const MAX_REPORTS: usize = 256;
 
 /// Kilobits a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -121,7 +121,7 @@
 
 impl PlayState {
     /// Whether the session is over for good.
-    pub fn is_over(self) -> bool {
+    pub fn has_ended(self) -> bool {
         matches!(self, PlayState::Ended | PlayState::Fatal | PlayState::Quit)
     }
 }
@@ -156,22 +156,22 @@
 
 /// The value of a custom key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Value {
+pub enum CustomValue {
     /// Present without a value.
     True,
     /// Unquoted.
-    Plain(Box<str>),
+    Unquoted(Box<str>),
     /// Quoted, without its quotes and escapes.
-    Text(Box<str>),
+    Quoted(Box<str>),
 }
 
 /// A custom key with a hyphenated prefix (CTA-5004, section 3.2).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Custom {
+pub struct CustomKey {
     /// Its name, prefix and all.
     pub key: Box<str>,
     /// Its value.
-    pub value: Value,
+    pub value: CustomValue,
 }
 
 /// What one request or report says. Absent values were not told, or dropped as unusable.
@@ -203,8 +203,8 @@
     pub tb: Option<Kbps>,
     pub ts: Option<u64>,
     pub v: Option<u32>,
-    /// Custom keys, in the order they came; at most [`MOST_CUSTOM`].
-    pub custom: Vec<Custom>,
+    /// Custom keys, in the order they came; at most [`MAX_CUSTOM_KEYS`].
+    pub custom: Vec<CustomKey>,
 }
 
 impl Record {
@@ -334,23 +334,23 @@
         if name.find('-').is_none_or(|at| at == 0) {
             return Err(Fault::UnknownKey);
         }
-        let long = matches!(raw, Raw::Plain(s) | Raw::Quoted(s) if s.len() > MOST_CUSTOM_VALUE);
-        if long || name.len() > MOST_CUSTOM_VALUE {
+        let long = matches!(raw, Raw::Plain(s) | Raw::Quoted(s) if s.len() > MAX_CUSTOM_LENGTH);
+        if long || name.len() > MAX_CUSTOM_LENGTH {
             return Err(Fault::TooLong);
         }
         let value = match raw {
-            Raw::Bare => Value::True,
-            Raw::Plain(s) => Value::Plain(s.into()),
-            Raw::Quoted(s) => Value::Text(unescape(s).ok_or(Fault::WrongType)?.into()),
+            Raw::Bare => CustomValue::True,
+            Raw::Plain(s) => CustomValue::Unquoted(s.into()),
+            Raw::Quoted(s) => CustomValue::Quoted(unescape(s).ok_or(Fault::WrongType)?.into()),
             Raw::List(_) => return Err(Fault::WrongType),
         };
-        if self.custom.len() >= MOST_CUSTOM {
-            return Err(Fault::PastBound);
+        if self.custom.len() >= MAX_CUSTOM_KEYS {
+            return Err(Fault::LimitExceeded);
         }
         if self.custom.iter().any(|c| &*c.key == name) {
             return Err(Fault::Duplicate);
         }
-        self.custom.push(Custom { key: name.into(), value });
+        self.custom.push(CustomKey { key: name.into(), value });
         Ok(())
     }
 
@@ -408,13 +408,13 @@
     }
 }
 
-/// Reads the body of an event or response report: one record a line. Lines past [`MOST_REPORTS`] are
+/// Reads the body of an event or response report: one record a line. Lines past [`MAX_REPORTS`] are
 /// dropped and counted.
 pub fn read_reports(body: &str, faults: &mut Faults) -> Vec<Record> {
     let mut out = Vec::new();
     for line in body.lines().map(str::trim).filter(|l| !l.is_empty()) {
-        if out.len() == MOST_REPORTS {
-            faults.add(Fault::PastBound);
+        if out.len() == MAX_REPORTS {
+            faults.add(Fault::LimitExceeded);
             continue;
         }
         let mut record = Record::default();
--- a/crates/hints/src/cmsd.rs
+++ b/crates/hints/src/cmsd.rs
@@ -11,13 +11,13 @@
 use sfv::{Decimal, StringRef, TokenRef};
 
 /// Name of the header that the origin sets.
-pub const STATIC: &str = "cmsd-static";
+pub const STATIC_HEADER: &str = "cmsd-static";
 /// Name of the header that each intermediary adds to.
-pub const DYNAMIC: &str = "cmsd-dynamic";
+pub const DYNAMIC_HEADER: &str = "cmsd-dynamic";
 /// Most members of a `CMSD-Dynamic` that are read; a longer path is a loop.
-pub const MOST_HOPS: usize = 16;
+pub const MAX_HOPS: usize = 16;
 /// Longest text of either header that is read.
-pub const MOST_BYTES: usize = 8192;
+pub const MAX_HEADER_BYTES: usize = 8192;
 
 /// Custom keys: our prefix, and what the standard has no key for.
 mod own {
@@ -44,21 +44,21 @@
     /// `du`: under duress.
     pub duress: bool,
     /// `etp`: estimated throughput to the client, kbps.
-    pub throughput: Option<u32>,
+    pub throughput_kbps: Option<u32>,
     /// `mb`: most suggested bitrate, kbps.
-    pub most: Option<u32>,
+    pub max_bitrate_kbps: Option<u32>,
     /// `rd`: response delay, ms.
-    pub delay: Option<u32>,
+    pub response_delay_ms: Option<u32>,
     /// `rtt`: estimated round trip, ms.
-    pub rtt: Option<u32>,
+    pub rtt_ms: Option<u32>,
     /// Streams in flight.
     pub streams: Option<u32>,
     /// What is asked of the link over what it gives; over 1 when short.
-    pub link: Option<f64>,
+    pub link_utilization: Option<f64>,
     /// The same for the rack's uplink.
-    pub rack: Option<f64>,
+    pub rack_utilization: Option<f64>,
     /// The set-up did not run, for certain.
-    pub unrun: bool,
+    pub not_executed: bool,
     /// Why there is no session.
     pub reason: Option<String>,
     /// The rung in force.
@@ -120,8 +120,8 @@
 ///
 /// A text that is no structured list gives nothing and counts one fault (RFC 9651, section 4.2).
 pub fn read_dynamic(text: &str, faults: &mut Faults) -> Vec<Hop> {
-    if text.len() > MOST_BYTES {
-        faults.add(Fault::PastBound);
+    if text.len() > MAX_HEADER_BYTES {
+        faults.add(Fault::LimitExceeded);
         return Vec::new();
     }
     let Ok(list) = Parser::new(text).parse::<List>() else {
@@ -142,22 +142,22 @@
                 continue;
             }
         };
-        if hops.len() == MOST_HOPS {
-            faults.add(Fault::PastBound);
+        if hops.len() == MAX_HOPS {
+            faults.add(Fault::LimitExceeded);
             break;
         }
         let mut r = Reader { params: &item.params, faults };
         hops.push(Hop {
             name,
             duress: r.flag("du"),
-            throughput: r.whole("etp"),
-            most: r.whole("mb"),
-            delay: r.whole("rd"),
-            rtt: r.whole("rtt"),
+            throughput_kbps: r.whole("etp"),
+            max_bitrate_kbps: r.whole("mb"),
+            response_delay_ms: r.whole("rd"),
+            rtt_ms: r.whole("rtt"),
             streams: r.whole(own::STREAMS.as_str()),
-            link: r.share(own::LINK.as_str()),
-            rack: r.share(own::RACK.as_str()),
-            unrun: r.flag(own::UNRUN.as_str()),
+            link_utilization: r.share(own::LINK.as_str()),
+            rack_utilization: r.share(own::RACK.as_str()),
+            not_executed: r.flag(own::UNRUN.as_str()),
             reason: r.token(own::REASON.as_str()),
             rung: r.whole(own::RUNG.as_str()),
         });
@@ -171,7 +171,7 @@
 
 impl Hop {
     /// Its member as text. A name or reason outside the field's characters is left out.
-    pub fn write(&self) -> String {
+    pub fn serialize(&self) -> String {
         let mut list = ListSerializer::new();
         let name = StringRef::from_str(&self.name).unwrap_or(sfv::string_ref("unnamed"));
         let mut p = list.bare_item(name);
@@ -179,10 +179,10 @@
             p = p.parameter(DU, true);
         }
         let wholes = [
-            (ETP, self.throughput),
-            (MB, self.most),
-            (RD, self.delay),
-            (RTT, self.rtt),
+            (ETP, self.throughput_kbps),
+            (MB, self.max_bitrate_kbps),
+            (RD, self.response_delay_ms),
+            (RTT, self.rtt_ms),
             (own::STREAMS, self.streams),
             (own::RUNG, self.rung),
         ];
@@ -191,12 +191,12 @@
                 p = p.parameter(key, i64::from(n).try_into().unwrap_or(sfv::Integer::MAX));
             }
         }
-        for (key, value) in [(own::LINK, self.link), (own::RACK, self.rack)] {
+        for (key, value) in [(own::LINK, self.link_utilization), (own::RACK, self.rack_utilization)] {
             if let Some(n) = value.and_then(share) {
                 p = p.parameter(key, n);
             }
         }
-        if self.unrun {
+        if self.not_executed {
             p = p.parameter(own::UNRUN, true);
         }
         if let Some(t) = self.reason.as_deref().and_then(|r| TokenRef::from_str(r).ok()) {
@@ -208,7 +208,7 @@
 
     /// The text of a `CMSD-Dynamic` with this member added at the end, as the last on the path so far.
     pub fn append_to(&self, before: &str) -> String {
-        let own = self.write();
+        let own = self.serialize();
         if before.trim().is_empty() {
             own
         } else {
@@ -229,36 +229,36 @@
     /// `n`: the origin's name.
     pub name: Option<String>,
     /// `at`: when the object became available, ms since the Unix epoch.
-    pub available: Option<u64>,
+    pub available_at_ms: Option<u64>,
     /// `br`: encoded bitrate, kbps.
-    pub bitrate: Option<u32>,
+    pub bitrate_kbps: Option<u32>,
     /// `d`: playing time, ms.
-    pub duration: Option<u32>,
+    pub duration_ms: Option<u32>,
     /// `ht`: time that the object was held before it was sent, ms.
-    pub held: Option<u32>,
+    pub held_ms: Option<u32>,
     /// `nor`: next object.
     pub next_object: Option<String>,
     /// `nrr`: next range.
     pub next_range: Option<String>,
     /// `ot`: kind of object.
-    pub object: Option<String>,
+    pub object_type: Option<String>,
     /// `sf`: streaming format.
     pub format: Option<String>,
     /// `st`: stream type.
-    pub stream: Option<String>,
+    pub stream_type: Option<String>,
     /// `su`: the object belongs to a start.
     pub startup: bool,
     /// `v`: version of the standard.
     pub version: Option<u32>,
     /// Keys that are not read here, as they came (custom ones among them).
-    pub rest: Dictionary,
+    pub other_keys: Dictionary,
 }
 
 /// Reads a `CMSD-Static`. A text that is no dictionary gives nothing and counts one fault.
 pub fn read_static(text: &str, faults: &mut Faults) -> Static {
     let mut out = Static::default();
-    if text.len() > MOST_BYTES {
-        faults.add(Fault::PastBound);
+    if text.len() > MAX_HEADER_BYTES {
+        faults.add(Fault::LimitExceeded);
         return out;
     }
     let Ok(dict) = Parser::new(text).parse::<Dictionary>() else {
@@ -267,7 +267,7 @@
     };
     for (key, entry) in dict {
         let ListEntry::Item(item) = &entry else {
-            out.rest.insert(key, entry);
+            out.other_keys.insert(key, entry);
             continue;
         };
         let v = &item.bare_item;
@@ -277,24 +277,24 @@
             "n" => text().map(|t| out.name = Some(t)),
             "at" => match v.as_integer().map(|n| u64::try_from(i64::from(n))) {
                 Some(Ok(n)) => {
-                    out.available = Some(n);
+                    out.available_at_ms = Some(n);
                     Ok(())
                 }
                 Some(Err(_)) => Err(Fault::OutOfRange),
                 None => Err(Fault::WrongType),
             },
-            "br" => as_whole(v).map(|n| out.bitrate = Some(n)),
-            "d" => as_whole(v).map(|n| out.duration = Some(n)),
-            "ht" => as_whole(v).map(|n| out.held = Some(n)),
+            "br" => as_whole(v).map(|n| out.bitrate_kbps = Some(n)),
+            "d" => as_whole(v).map(|n| out.duration_ms = Some(n)),
+            "ht" => as_whole(v).map(|n| out.held_ms = Some(n)),
             "nor" => text().map(|t| out.next_object = Some(t)),
             "nrr" => text().map(|t| out.next_range = Some(t)),
-            "ot" => token().map(|t| out.object = Some(t)),
+            "ot" => token().map(|t| out.object_type = Some(t)),
             "sf" => token().map(|t| out.format = Some(t)),
-            "st" => token().map(|t| out.stream = Some(t)),
+            "st" => token().map(|t| out.stream_type = Some(t)),
             "su" => v.as_boolean().map(|b| out.startup = b).ok_or(Fault::WrongType),
             "v" => as_whole(v).map(|n| out.version = Some(n)),
             _ => {
-                out.rest.insert(key, entry);
+                out.other_keys.insert(key, entry);
                 Ok(())
             }
         };
@@ -307,14 +307,14 @@
 
 impl Static {
     /// The header's text; empty when it says nothing.
-    pub fn write(&self) -> String {
+    pub fn serialize(&self) -> String {
         let mut dict = DictSerializer::new();
         let int = |n: u64| sfv::Integer::try_from(n).unwrap_or(sfv::Integer::MAX);
         let wholes = [
-            ("at", self.available),
-            ("br", self.bitrate.map(u64::from)),
-            ("d", self.duration.map(u64::from)),
-            ("ht", self.held.map(u64::from)),
+            ("at", self.available_at_ms),
+            ("br", self.bitrate_kbps.map(u64::from)),
+            ("d", self.duration_ms.map(u64::from)),
+            ("ht", self.held_ms.map(u64::from)),
             ("v", self.version.map(u64::from)),
         ];
         for (key, value) in wholes {
@@ -329,7 +329,7 @@
                 let _ = dict.bare_item(key, t);
             }
         }
-        for (key, value) in [("ot", &self.object), ("sf", &self.format), ("st", &self.stream)] {
+        for (key, value) in [("ot", &self.object_type), ("sf", &self.format), ("st", &self.stream_type)] {
             let value = value.as_deref().and_then(|t| TokenRef::from_str(t).ok());
             if let (Some(t), Ok(key)) = (value, KeyRef::from_str(key)) {
                 let _ = dict.bare_item(key, t);
@@ -338,7 +338,7 @@
         if self.startup {
             let _ = dict.bare_item(sfv::key_ref("su"), true);
         }
-        dict.members(&self.rest);
+        dict.members(&self.other_keys);
         dict.finish().unwrap_or_default()
     }
 }
--- a/crates/hints/src/faults.rs
+++ b/crates/hints/src/faults.rs
@@ -20,7 +20,7 @@
     /// Not `key` or `key=value`.
     Malformed,
     /// Past the bound on custom keys, members or bytes.
-    PastBound,
+    LimitExceeded,
 }
 
 impl Fault {
@@ -33,7 +33,7 @@
         Fault::TooLong,
         Fault::Duplicate,
         Fault::Malformed,
-        Fault::PastBound,
+        Fault::LimitExceeded,
     ];
 }
 
@@ -47,7 +47,7 @@
             Fault::TooLong => "too long",
             Fault::Duplicate => "duplicate",
             Fault::Malformed => "malformed",
-            Fault::PastBound => "past a bound",
+            Fault::LimitExceeded => "past a bound",
         })
     }
 }
@@ -66,7 +66,7 @@
     }
 
     /// How many of that kind.
-    pub fn of(&self, fault: Fault) -> u16 {
+    pub fn count(&self, fault: Fault) -> u16 {
         self.counts[fault as usize]
     }
 
@@ -79,9 +79,9 @@
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut first = true;
-        for fault in Fault::ALL.into_iter().filter(|k| self.of(*k) > 0) {
+        for fault in Fault::ALL.into_iter().filter(|k| self.count(*k) > 0) {
             let comma = if std::mem::take(&mut first) { "" } else { ", " };
-            write!(f, "{comma}{fault} {}", self.of(fault))?;
+            write!(f, "{comma}{fault} {}", self.count(fault))?;
         }
         Ok(())
     }
--- a/crates/hints/src/keys.rs
+++ b/crates/hints/src/keys.rs
@@ -90,9 +90,9 @@
 }
 
 /// Longest `cid` and `sid` (CTA-5004, table 1).
-pub(crate) const MOST_ID: usize = 64;
+pub(crate) const MAX_ID: usize = 64;
 /// Longest address in `nor`; the standard names none, ours bounds the memory of a request.
-pub(crate) const MOST_URL: usize = 1024;
+pub(crate) const MAX_URL: usize = 1024;
 const U32: u64 = u32::MAX as u64;
 /// Largest whole number of a structured field (RFC 9651, section 3.3.1).
 const LARGEST: u64 = 999_999_999_999_999;
@@ -105,7 +105,7 @@
     /// The buffer was starved since the last request.
     Bs "bs" Status Kind::Flag;
     /// Content id.
-    Cid "cid" Session Kind::Text { most: MOST_ID };
+    Cid "cid" Session Kind::Text { most: MAX_ID };
     /// Playing time of the object, ms.
     D "d" Object whole(U32, 1, Fold::Most);
     /// Deadline: time until the first sample must be there, ms, to the nearest 100.
@@ -119,9 +119,9 @@
     /// Measured throughput, kbps, to the nearest 100.
     Mtp "mtp" Request whole(U32, 100, Fold::Most);
     /// Next object request: relative address, percent-encoded.
-    Nor "nor" Request Kind::Text { most: MOST_URL };
+    Nor "nor" Request Kind::Text { most: MAX_URL };
     /// Next range request: `first-last`.
-    Nrr "nrr" Request Kind::Text { most: MOST_ID };
+    Nrr "nrr" Request Kind::Text { most: MAX_ID };
     /// Kind of object.
     Ot "ot" Object Kind::Token;
     /// Playback rate; 1 is normal.
@@ -133,7 +133,7 @@
     /// Streaming format.
     Sf "sf" Session Kind::Token;
     /// Session id.
-    Sid "sid" Session Kind::Text { most: MOST_ID };
+    Sid "sid" Session Kind::Text { most: MAX_ID };
     /// Sequence number of the report within its session (version 2).
     Sn "sn" Request whole(LARGEST, 1, Fold::Most);
     /// Stream type.
--- a/crates/hints/src/reconcile.rs
+++ b/crates/hints/src/reconcile.rs
@@ -8,13 +8,13 @@
     /// Headers and query argument differ: the headers count (a query is copied by caches and redirects).
     HeaderAgainstQuery,
     /// `br` over `tb`: `tb` is dropped, as the client has shown that it plays `br`.
-    BitrateOverTop,
+    BitrateAboveTop,
     /// `su` while at least one object's playing time is buffered: `su` is dropped.
     StartupWithBuffer,
     /// `bs` with a full object buffered and no startup: `bs` is dropped.
     StarvedWithBuffer,
     /// The player says that it is over, and asks urgently: the end is dropped, as it asks.
-    OverButUrgent,
+    EndedButUrgent,
     /// A `sid` that came with another `cid` before: the first `cid` counts.
     ContentChanged,
 }
@@ -23,21 +23,21 @@
     /// All of them.
     pub const ALL: [Contradiction; 6] = [
         Contradiction::HeaderAgainstQuery,
-        Contradiction::BitrateOverTop,
+        Contradiction::BitrateAboveTop,
         Contradiction::StartupWithBuffer,
         Contradiction::StarvedWithBuffer,
-        Contradiction::OverButUrgent,
+        Contradiction::EndedButUrgent,
         Contradiction::ContentChanged,
     ];
 
     /// A word for logs and counts.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Contradiction::HeaderAgainstQuery => "header-query",
-            Contradiction::BitrateOverTop => "br-over-tb",
+            Contradiction::BitrateAboveTop => "br-over-tb",
             Contradiction::StartupWithBuffer => "su-with-buffer",
             Contradiction::StarvedWithBuffer => "bs-with-buffer",
-            Contradiction::OverButUrgent => "over-but-urgent",
+            Contradiction::EndedButUrgent => "over-but-urgent",
             Contradiction::ContentChanged => "cid-changed",
         }
     }
@@ -54,7 +54,7 @@
     }
 
     /// Whether it is in.
-    pub fn has(self, c: Contradiction) -> bool {
+    pub fn contains(self, c: Contradiction) -> bool {
         self.0 & (1 << c as u8) != 0
     }
 
@@ -65,11 +65,11 @@
 
     /// Those that are in.
     pub fn iter(self) -> impl Iterator<Item = Contradiction> {
-        Contradiction::ALL.into_iter().filter(move |c| self.has(*c))
+        Contradiction::ALL.into_iter().filter(move |c| self.contains(*c))
     }
 
     /// Adds all of the other set; gives those that are new.
-    pub fn learn(&mut self, other: Contradictions) -> Contradictions {
+    pub fn insert_all(&mut self, other: Contradictions) -> Contradictions {
         let new = Contradictions(other.0 & !self.0);
         self.0 |= other.0;
         new
@@ -83,7 +83,7 @@
     if let (Some(br), Some(tb)) = (r.br, r.tb) {
         if br > tb {
             r.tb = None;
-            found.add(Contradiction::BitrateOverTop);
+            found.add(Contradiction::BitrateAboveTop);
         }
     }
     let buffered = matches!((r.bl, r.d), (Some(bl), Some(d)) if d.0 > 0 && bl >= d);
@@ -95,9 +95,9 @@
         r.bs = false;
         found.add(Contradiction::StarvedWithBuffer);
     }
-    if r.su && r.sta.is_some_and(|s| s.is_over()) {
+    if r.su && r.sta.is_some_and(|s| s.has_ended()) {
         r.sta = None;
-        found.add(Contradiction::OverButUrgent);
+        found.add(Contradiction::EndedButUrgent);
     }
     (r, found)
 }
--- a/crates/hints/src/write.rs
+++ b/crates/hints/src/write.rs
@@ -1,6 +1,6 @@
 //! CMCD as text: keys in the order of their names, figures rounded as the standard asks.
 
-use crate::cmcd::{Kbps, Millis, Record, Value};
+use crate::cmcd::{CustomValue, Kbps, Millis, Record};
 use crate::keys::{Group, Key, Kind};
 use std::fmt::Write;
 
@@ -93,12 +93,12 @@
             }
             out.push_str(&c.key);
             match &c.value {
-                Value::True => {}
-                Value::Plain(v) => {
+                CustomValue::True => {}
+                CustomValue::Unquoted(v) => {
                     out.push('=');
                     out.push_str(v);
                 }
-                Value::Text(v) => {
+                CustomValue::Quoted(v) => {
                     out.push('=');
                     quote(out, v);
                 }
@@ -107,7 +107,7 @@
     }
 
     /// The value of one group's header, empty when the group says nothing. Custom keys go with the request.
-    pub fn header(&self, group: Group) -> String {
+    pub fn to_header(&self, group: Group) -> String {
         let mut out = String::new();
         for key in Key::ALL.iter().filter(|k| k.group() == group) {
             self.write_key(&mut out, *key);
@@ -119,7 +119,7 @@
     }
 
     /// All keys together: the query argument before percent-encoding, or a line of a report.
-    pub fn line(&self) -> String {
+    pub fn to_line(&self) -> String {
         let mut out = String::new();
         for key in Key::ALL {
             self.write_key(&mut out, *key);
--- a/crates/hints/tests/cmcd.rs
+++ b/crates/hints/tests/cmcd.rs
@@ -57,13 +57,16 @@
         ltc: Some(Millis(1999)),
         v: Some(2),
         su: true,
-        custom: vec![Custom { key: "com.example-a".into(), value: Value::Text("x,y=\"z\"".into()) }],
+        custom: vec![CustomKey {
+            key: "com.example-a".into(),
+            value: CustomValue::Quoted("x,y=\"z\"".into()),
+        }],
         ..Record::default()
     };
-    let (back, f) = query(&r.line());
-    assert_eq!((back, f.total()), (r.clone(), 0), "{}", r.line());
+    let (back, f) = query(&r.to_line());
+    assert_eq!((back, f.total()), (r.clone(), 0), "{}", r.to_line());
     let (mut back, mut f) = (Record::default(), Faults::default());
-    Group::ALL.iter().for_each(|g| back.read_header(*g, &r.header(*g), &mut f));
+    Group::ALL.iter().for_each(|g| back.read_header(*g, &r.to_header(*g), &mut f));
     assert_eq!((back, f.total()), (r, 0));
 }
 
@@ -77,9 +80,9 @@
         br: Some(Kbps(151)),
         ..Record::default()
     };
-    assert_eq!(r.line(), "bl=2100,br=151,dl=2200,mtp=0,rtp=200");
+    assert_eq!(r.to_line(), "bl=2100,br=151,dl=2200,mtp=0,rtp=200");
     // Defaults are left out: rate 1, version 1, flags that do not hold.
-    assert_eq!(Record { pr: Some(1.0), v: Some(1), ..Record::default() }.line(), "");
+    assert_eq!(Record { pr: Some(1.0), v: Some(1), ..Record::default() }.to_line(), "");
 }
 
 #[test]
@@ -98,7 +101,7 @@
                 _ => "=7".into(),
             };
             let (r, f) = header(group, &format!("{}{value}", key.name()));
-            assert_eq!(f.of(Fault::WrongGroup), u16::from(group != key.group()), "{key:?} in {group:?}");
+            assert_eq!(f.count(Fault::WrongGroup), u16::from(group != key.group()), "{key:?} in {group:?}");
             assert_eq!(r.is_empty(), group != key.group(), "{key:?} in {group:?}");
         }
     }
@@ -131,23 +134,26 @@
     ];
     for (text, fault) in cases {
         let (r, f) = query(&format!("d=2000,{text},bs"));
-        assert_eq!((f.of(fault), f.total()), (1, 1), "{text}: {f}");
+        assert_eq!((f.count(fault), f.total()), (1, 1), "{text}: {f}");
         assert_eq!((r.d, r.bs), (Some(Millis(2000)), true), "{text}: the neighbours stay");
     }
     let long = "x".repeat(65);
-    assert_eq!(query(&format!("sid=\"{long}\"")).1.of(Fault::TooLong), 1);
+    assert_eq!(query(&format!("sid=\"{long}\"")).1.count(Fault::TooLong), 1);
     assert_eq!(query("br=1,br=2").0.br, Some(Kbps(1)), "the first one counts");
-    assert_eq!(query("cid=\"never closed,br=5").1.of(Fault::Malformed), 1);
+    assert_eq!(query("cid=\"never closed,br=5").1.count(Fault::Malformed), 1);
 }
 
 #[test]
 fn custom_keys_are_kept_up_to_their_bound() {
     let (r, f) = query("com.example-myNumericKey=500,com.example-flag,com.example-s=\"a\\\"b\"");
     assert_eq!((r.custom.len(), f.total()), (3, 0));
-    assert_eq!(r.custom[2].value, Value::Text("a\"b".into()));
+    assert_eq!(r.custom[2].value, CustomValue::Quoted("a\"b".into()));
     let many: Vec<_> = (0..40).map(|i| format!("a-{i}=1")).collect();
     let (r, f) = query(&many.join(","));
-    assert_eq!((r.custom.len(), f.of(Fault::PastBound)), (MOST_CUSTOM, 40 - MOST_CUSTOM as u16));
+    assert_eq!(
+        (r.custom.len(), f.count(Fault::LimitExceeded)),
+        (MAX_CUSTOM_KEYS, 40 - MAX_CUSTOM_KEYS as u16)
+    );
 }
 
 #[test]
@@ -155,8 +161,8 @@
     let (r, f) = query("br=(3000;v 128;a),bl=(4000;v 1500;a),mtp=(100 900),v=2");
     assert_eq!(f.total(), 0, "{f}");
     assert_eq!((r.br, r.bl, r.mtp), (Some(Kbps(3128)), Some(Millis(1500)), Some(Kbps(900))));
-    assert_eq!(query("br=()").1.of(Fault::OutOfRange), 1);
-    assert_eq!(query("br=(1").1.of(Fault::Malformed), 1);
+    assert_eq!(query("br=()").1.count(Fault::OutOfRange), 1);
+    assert_eq!(query("br=(1").1.count(Fault::Malformed), 1);
 }
 
 #[test]
@@ -169,10 +175,10 @@
     let states: Vec<_> = all.iter().map(|r| r.sta).collect();
     assert_eq!(states, [Some(PlayState::Starting), Some(PlayState::Playing), None, Some(PlayState::Quit)]);
     assert_eq!((all[1].msd, all[2].rc, all[2].e), (Some(Millis(400)), Some(503), Some(EventKind::Response)));
-    assert!(all[3].sta.unwrap().is_over());
-    let flood = "bs\n".repeat(MOST_REPORTS + 3);
-    assert_eq!(read_reports(&flood, &mut f).len(), MOST_REPORTS);
-    assert_eq!(f.of(Fault::PastBound), 3);
+    assert!(all[3].sta.unwrap().has_ended());
+    let flood = "bs\n".repeat(MAX_REPORTS + 3);
+    assert_eq!(read_reports(&flood, &mut f).len(), MAX_REPORTS);
+    assert_eq!(f.count(Fault::LimitExceeded), 3);
 }
 
 #[test]
@@ -180,22 +186,22 @@
     let both = |h: &str, q: &str| reconcile(query(h).0, query(q).0);
     let (r, c) = both("br=3000,tb=2000", "");
     assert_eq!((r.br, r.tb), (Some(Kbps(3000)), None));
-    assert!(c.has(Contradiction::BitrateOverTop));
+    assert!(c.contains(Contradiction::BitrateAboveTop));
     let (r, c) = both("br=3000", "br=1000,cid=\"x\"");
     assert_eq!(
         (r.br, r.cid.as_deref()),
         (Some(Kbps(3000)), Some("x")),
         "the header counts, the rest fills up"
     );
-    assert!(c.has(Contradiction::HeaderAgainstQuery));
+    assert!(c.contains(Contradiction::HeaderAgainstQuery));
     let (r, c) = both("su,bl=4000,d=2000", "");
-    assert!(!r.su && c.has(Contradiction::StartupWithBuffer));
+    assert!(!r.su && c.contains(Contradiction::StartupWithBuffer));
     let (r, c) = both("su,bl=400,d=2000", "");
     assert!(r.su && c.is_empty(), "a start with a little buffered is no contradiction");
     let (r, c) = both("bs,bl=4000,d=2000", "");
-    assert!(!r.bs && c.has(Contradiction::StarvedWithBuffer));
+    assert!(!r.bs && c.contains(Contradiction::StarvedWithBuffer));
     let (r, c) = both("su,sta=q", "");
-    assert!(r.sta.is_none() && c.has(Contradiction::OverButUrgent));
+    assert!(r.sta.is_none() && c.contains(Contradiction::EndedButUrgent));
     let (_, c) = both("br=3000", "br=3000");
     assert!(c.is_empty(), "the same twice is none");
 }
--- a/crates/hints/tests/cmsd.rs
+++ b/crates/hints/tests/cmsd.rs
@@ -10,8 +10,14 @@
         read_dynamic("\"CDNB-3ak1\";etp=96;rtt=8, \"CDNB-w35k\";etp=76;rtt=32;mb=5000;rd=12;du", &mut f);
     assert_eq!(f.total(), 0, "{f}");
     assert_eq!(hops.len(), 2);
-    assert_eq!((hops[0].name.as_str(), hops[0].throughput, hops[0].rtt), ("CDNB-3ak1", Some(96), Some(8)));
-    assert_eq!((hops[1].most, hops[1].delay, hops[1].duress), (Some(5000), Some(12), true));
+    assert_eq!(
+        (hops[0].name.as_str(), hops[0].throughput_kbps, hops[0].rtt_ms),
+        ("CDNB-3ak1", Some(96), Some(8))
+    );
+    assert_eq!(
+        (hops[1].max_bitrate_kbps, hops[1].response_delay_ms, hops[1].duress),
+        (Some(5000), Some(12), true)
+    );
 }
 
 #[test]
@@ -19,14 +25,14 @@
     let own = Hop {
         name: "front-1".into(),
         duress: true,
-        throughput: Some(900),
-        most: Some(2000),
-        delay: Some(3),
-        rtt: Some(1),
+        throughput_kbps: Some(900),
+        max_bitrate_kbps: Some(2000),
+        response_delay_ms: Some(3),
+        rtt_ms: Some(1),
         streams: Some(41),
-        link: Some(1.25),
-        rack: Some(0.5),
-        unrun: true,
+        link_utilization: Some(1.25),
+        rack_utilization: Some(0.5),
+        not_executed: true,
         reason: Some("full".into()),
         rung: Some(2),
     };
@@ -35,7 +41,7 @@
     let hops = read_dynamic(&text, &mut f);
     assert_eq!((hops.len(), f.total()), (2, 0), "{text}");
     assert_eq!((hops[0].name.as_str(), &hops[1]), ("origin", &own));
-    assert_eq!(own.append_to("  "), own.write());
+    assert_eq!(own.append_to("  "), own.serialize());
 }
 
 #[test]
@@ -44,17 +50,17 @@
     let hops =
         read_dynamic("7;etp=1, (1 2), \"a\";etp=x;rtt=-4;com.cloverhollow-link=\"z\", \"b\";etp=2", &mut f);
     assert_eq!(hops.iter().map(|h| h.name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
-    assert_eq!((hops[0].throughput, hops[1].throughput), (None, Some(2)));
-    assert_eq!((f.of(Fault::WrongType), f.of(Fault::OutOfRange)), (4, 1), "{f}");
+    assert_eq!((hops[0].throughput_kbps, hops[1].throughput_kbps), (None, Some(2)));
+    assert_eq!((f.count(Fault::WrongType), f.count(Fault::OutOfRange)), (4, 1), "{f}");
     for broken in ["\"a\";etp=1,", "\"a", "\u{e9}", "a b"] {
         let mut f = Faults::default();
         assert!(read_dynamic(broken, &mut f).is_empty(), "{broken}");
-        assert_eq!(f.of(Fault::Malformed), 1, "{broken}");
+        assert_eq!(f.count(Fault::Malformed), 1, "{broken}");
     }
     let mut f = Faults::default();
-    assert_eq!(read_dynamic(&vec!["\"h\""; 40].join(", "), &mut f).len(), MOST_HOPS);
+    assert_eq!(read_dynamic(&vec!["\"h\""; 40].join(", "), &mut f).len(), MAX_HOPS);
     assert!(read_dynamic(&"\"h\", ".repeat(3000), &mut f).is_empty());
-    assert_eq!(f.of(Fault::PastBound), 2);
+    assert_eq!(f.count(Fault::LimitExceeded), 2);
 }
 
 #[test]
@@ -63,15 +69,18 @@
     let mut f = Faults::default();
     let s = read_static(text, &mut f);
     assert_eq!(f.total(), 0, "{f}");
-    assert_eq!((s.bitrate, s.duration, s.available), (Some(2000), Some(5000), Some(1_600_000_000_000)));
     assert_eq!(
-        (s.name.as_deref(), s.object.as_deref(), s.startup),
+        (s.bitrate_kbps, s.duration_ms, s.available_at_ms),
+        (Some(2000), Some(5000), Some(1_600_000_000_000))
+    );
+    assert_eq!(
+        (s.name.as_deref(), s.object_type.as_deref(), s.startup),
         (Some("OriginProviderA"), Some("v"), true)
     );
-    assert_eq!(s.rest.len(), 1);
+    assert_eq!(s.other_keys.len(), 1);
     let mut f = Faults::default();
-    assert_eq!(read_static(&s.write(), &mut f), s);
+    assert_eq!(read_static(&s.serialize(), &mut f), s);
     assert_eq!(f.total(), 0, "{f}");
     assert_eq!(read_static("br=x, d=-1, n=5", &mut f), Static::default());
-    assert_eq!((f.of(Fault::WrongType), f.of(Fault::OutOfRange)), (2, 1), "{f}");
+    assert_eq!((f.count(Fault::WrongType), f.count(Fault::OutOfRange)), (2, 1), "{f}");
 }
--- a/crates/hints/tests/fuzz.rs
+++ b/crates/hints/tests/fuzz.rs
@@ -40,9 +40,9 @@
             r.read_query(&text, &mut f);
             let mut g = Faults::default();
             let mut again = Record::default();
-            again.read_query(&r.line(), &mut g);
-            prop_assert_eq!(g.total(), 0, "{}", r.line());
-            prop_assert_eq!(again.line(), r.line());
+            again.read_query(&r.to_line(), &mut g);
+            prop_assert_eq!(g.total(), 0, "{}", r.to_line());
+            prop_assert_eq!(again.to_line(), r.to_line());
             for group in Group::ALL {
                 Record::default().read_header(group, &text, &mut f);
             }
@@ -50,7 +50,7 @@
             read_dynamic(&text, &mut f);
             let s = read_static(&text, &mut f);
             let mut h = Faults::default();
-            prop_assert_eq!(read_static(&s.write(), &mut h).write(), s.write());
+            prop_assert_eq!(read_static(&s.serialize(), &mut h).serialize(), s.serialize());
             let (once, _) = reconcile(r, again);
             let (twice, none) = reconcile(once.clone(), Record::default());
             prop_assert_eq!(once, twice, "one reading has no contradiction left: {:?}", none);
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,6 +1,6 @@
 //! Bodies: by length, in chunks (RFC 9112, section 7.1), or until the connection closes.
 
-use crate::{Framing, Malformed};
+use crate::{Framing, ParseError};
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Longest line of a chunk's size with its extensions, and of a trailer.
@@ -48,12 +48,12 @@
     }
 
     /// Whether the peer may close here without cutting the body.
-    pub fn may_close(&self) -> bool {
+    pub fn can_end_at_eof(&self) -> bool {
         matches!(self.state, State::UntilClose | State::Done | State::Length(0))
     }
 
     /// The next part, or `None` when more bytes are needed. After [`BodyPart::End`] it must not be called.
-    pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<BodyPart>, Malformed> {
+    pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<BodyPart>, ParseError> {
         loop {
             match self.state {
                 State::Length(0) | State::Done => {
@@ -88,7 +88,7 @@
                         return Ok(None);
                     }
                     if &buf[..2] != b"\r\n" {
-                        return Err(Malformed::Chunk("longer than its size"));
+                        return Err(ParseError::InvalidChunk("longer than its size"));
                     }
                     buf.advance(2);
                     self.state = State::Size;
@@ -98,7 +98,7 @@
                     if line.is_empty() {
                         self.state = State::Done;
                     } else if n == TRAILERS {
-                        return Err(Malformed::Chunk("too many trailers"));
+                        return Err(ParseError::InvalidChunk("too many trailers"));
                     } else {
                         self.state = State::Trailer(n + 1);
                     }
@@ -109,25 +109,29 @@
 }
 
 /// Takes a line up to its CRLF off the front.
-fn line(buf: &mut BytesMut) -> Result<Option<BytesMut>, Malformed> {
+fn line(buf: &mut BytesMut) -> Result<Option<BytesMut>, ParseError> {
     let Some(end) = buf.iter().take(LINE_BYTES + 2).position(|b| *b == b'\n') else {
-        return if buf.len() > LINE_BYTES { Err(Malformed::Chunk("line too long")) } else { Ok(None) };
+        return if buf.len() > LINE_BYTES {
+            Err(ParseError::InvalidChunk("line too long"))
+        } else {
+            Ok(None)
+        };
     };
     let mut line = buf.split_to(end + 1);
     if end == 0 || line[end - 1] != b'\r' {
-        return Err(Malformed::BareLineFeed);
+        return Err(ParseError::BareLineFeed);
     }
     line.truncate(end - 1);
     Ok(Some(line))
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, Malformed> {
+fn chunk_size(line: &[u8]) -> Result<u64, ParseError> {
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     let fine = matches!(line[digits..].first(), None | Some(b';' | b' ' | b'\t'));
     // Sixteen digits would overflow; more than fifteen is no size that anyone sends.
     if !fine || digits == 0 || digits > 15 {
-        return Err(Malformed::Chunk("no size"));
+        return Err(ParseError::InvalidChunk("no size"));
     }
-    let text = std::str::from_utf8(&line[..digits]).map_err(|_| Malformed::Chunk("no size"))?;
-    u64::from_str_radix(text, 16).map_err(|_| Malformed::Chunk("no size"))
+    let text = std::str::from_utf8(&line[..digits]).map_err(|_| ParseError::InvalidChunk("no size"))?;
+    u64::from_str_radix(text, 16).map_err(|_| ParseError::InvalidChunk("no size"))
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -27,12 +27,12 @@
     }
 
     /// All values under that name.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).map(|(_, v)| v)
     }
 
     /// The first value under that name, if it is UTF-8.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn get_str(&self, name: &str) -> Option<&str> {
         let first = self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
         first.and_then(|(_, v)| std::str::from_utf8(v).ok())
     }
@@ -40,7 +40,7 @@
     /// All values under that name as one list (RFC 9110, section 5.3); lines that are no UTF-8 are left out.
     pub fn joined(&self, name: &str) -> Option<String> {
         let mut out: Option<String> = None;
-        for v in self.all(name).filter_map(|v| std::str::from_utf8(v).ok()) {
+        for v in self.get_all(name).filter_map(|v| std::str::from_utf8(v).ok()) {
             match &mut out {
                 None => out = Some(v.to_string()),
                 Some(s) => {
@@ -54,7 +54,7 @@
 
     /// Whether a comma-separated header names that token.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name)
+        self.get_all(name)
             .flat_map(|v| v.split(|b| *b == b','))
             .any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -24,16 +24,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Longest head, bytes, line ends included.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Most header lines.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Most bytes of one body frame; what is longer comes in several.
-    pub frame_bytes: usize,
+    pub max_frame_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { head_bytes: 8 * 1024, headers: 64, frame_bytes: 16 * 1024 }
+        Limits { max_head_bytes: 8 * 1024, max_headers: 64, max_frame_bytes: 16 * 1024 }
     }
 }
 
@@ -63,42 +63,42 @@
 /// begins is unknown.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[allow(missing_docs)] // the messages say it
-pub enum Malformed {
+pub enum ParseError {
     #[error("not an HTTP head: {0}")]
     Syntax(&'static str),
     #[error("a line feed without a carriage return")]
     BareLineFeed,
     #[error("a folded header line")]
-    Folded,
+    FoldedHeader,
     #[error("head over {0} bytes")]
     HeadTooLong(usize),
     #[error("more than {0} header lines")]
     TooManyHeaders(usize),
     #[error("more than one content-length")]
-    TwoLengths,
+    DuplicateContentLength,
     #[error("a content-length beside transfer-encoding")]
-    LengthWithChunked,
+    ContentLengthWithTransferEncoding,
     #[error("content-length is no number")]
-    BadLength,
+    InvalidContentLength,
     #[error("a transfer-encoding other than chunked")]
-    TransferEncoding,
+    UnsupportedTransferEncoding,
     #[error("not HTTP/1.0 or HTTP/1.1")]
-    Version,
+    UnsupportedVersion,
     #[error("no single host header")]
-    Host,
+    InvalidHost,
     #[error("not a chunk: {0}")]
-    Chunk(&'static str),
+    InvalidChunk(&'static str),
     #[error("the peer closed inside a message")]
-    Cut,
+    UnexpectedEof,
 }
 
-impl Malformed {
+impl ParseError {
     /// The status that a server answers with before it closes (RFC 9110, section 15; RFC 6585, section 5).
     pub fn status(&self) -> u16 {
         match self {
-            Malformed::HeadTooLong(_) | Malformed::TooManyHeaders(_) => 431,
-            Malformed::TransferEncoding => 501,
-            Malformed::Version => 505,
+            ParseError::HeadTooLong(_) | ParseError::TooManyHeaders(_) => 431,
+            ParseError::UnsupportedTransferEncoding => 501,
+            ParseError::UnsupportedVersion => 505,
             _ => 400,
         }
     }
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -35,7 +35,7 @@
     }
 
     /// The value of a query argument, still percent-encoded.
-    pub fn argument(&self, name: &str) -> Option<&str> {
+    pub fn query_argument(&self, name: &str) -> Option<&str> {
         let query = self.as_str().get(self.path + 1..)?;
         query.split('&').find_map(|pair| match pair.split_once('=') {
             Some((key, value)) if key == name => Some(value),
--- a/crates/http/tests/codec.rs
+++ b/crates/http/tests/codec.rs
@@ -11,7 +11,7 @@
 }
 
 /// All frames as words, or the first error.
-fn requests(pieces: &[&[u8]], limits: Limits) -> Result<Vec<String>, Malformed> {
+fn requests(pieces: &[&[u8]], limits: Limits) -> Result<Vec<String>, ParseError> {
     let (mut d, mut buf, mut out) = (RequestDecoder::new(limits), BytesMut::new(), Vec::new());
     for piece in pieces {
         buf.extend_from_slice(piece);
@@ -29,42 +29,45 @@
     Ok(out)
 }
 
-fn one(text: &str) -> Result<Vec<String>, Malformed> {
+fn one(text: &str) -> Result<Vec<String>, ParseError> {
     requests(&[text.as_bytes()], Limits::default())
 }
 
 #[test]
 fn what_two_parties_could_read_differently_is_refused() {
     let cases = [
-        ("GET / HTTP/1.1\nhost: a\n\n", Malformed::BareLineFeed),
-        ("GET / HTTP/1.1\r\nhost: a\nx: y\r\n\r\n", Malformed::BareLineFeed),
-        ("GET / HTTP/1.1\r\nhost: a\r\nx: y\r\n z\r\n\r\n", Malformed::Folded),
+        ("GET / HTTP/1.1\nhost: a\n\n", ParseError::BareLineFeed),
+        ("GET / HTTP/1.1\r\nhost: a\nx: y\r\n\r\n", ParseError::BareLineFeed),
+        ("GET / HTTP/1.1\r\nhost: a\r\nx: y\r\n z\r\n\r\n", ParseError::FoldedHeader),
         (
             "GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\nx",
-            Malformed::TwoLengths,
+            ParseError::DuplicateContentLength,
+        ),
+        ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 1, 1\r\n\r\nx", ParseError::InvalidContentLength),
+        ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: +1\r\n\r\nx", ParseError::InvalidContentLength),
+        (
+            "GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 99999999999999999999\r\n\r\n",
+            ParseError::InvalidContentLength,
         ),
-        ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 1, 1\r\n\r\nx", Malformed::BadLength),
-        ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: +1\r\n\r\nx", Malformed::BadLength),
-        ("GET / HTTP/1.1\r\nhost: a\r\ncontent-length: 99999999999999999999\r\n\r\n", Malformed::BadLength),
         (
             "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-            Malformed::LengthWithChunked,
+            ParseError::ContentLengthWithTransferEncoding,
         ),
         (
             "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: gzip, chunked\r\n\r\n",
-            Malformed::TransferEncoding,
+            ParseError::UnsupportedTransferEncoding,
         ),
         (
             "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\ntransfer-encoding: x\r\n\r\n",
-            Malformed::TransferEncoding,
+            ParseError::UnsupportedTransferEncoding,
         ),
-        ("POST / HTTP/1.0\r\ntransfer-encoding: chunked\r\n\r\n", Malformed::TransferEncoding),
-        ("GET / HTTP/1.1\r\n\r\n", Malformed::Host),
-        ("GET / HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n", Malformed::Host),
-        ("GET / HTTP/2.0\r\nhost: a\r\n\r\n", Malformed::Version),
-        ("GET http://x/ HTTP/1.1\r\nhost: a\r\n\r\n", Malformed::Syntax("request target")),
-        ("GET / HTTP/1.1\r\nhost : a\r\n\r\n", Malformed::Syntax("header name")),
-        ("\r\n\r\n", Malformed::Syntax("empty first line")),
+        ("POST / HTTP/1.0\r\ntransfer-encoding: chunked\r\n\r\n", ParseError::UnsupportedTransferEncoding),
+        ("GET / HTTP/1.1\r\n\r\n", ParseError::InvalidHost),
+        ("GET / HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n", ParseError::InvalidHost),
+        ("GET / HTTP/2.0\r\nhost: a\r\n\r\n", ParseError::UnsupportedVersion),
+        ("GET http://x/ HTTP/1.1\r\nhost: a\r\n\r\n", ParseError::Syntax("request target")),
+        ("GET / HTTP/1.1\r\nhost : a\r\n\r\n", ParseError::Syntax("header name")),
+        ("\r\n\r\n", ParseError::Syntax("empty first line")),
     ];
     for (text, fault) in cases {
         assert_eq!(one(text), Err(fault), "{text:?}");
@@ -73,15 +76,15 @@
 
 #[test]
 fn heads_past_a_bound_get_their_own_status() {
-    let limits = Limits { head_bytes: 200, headers: 3, frame_bytes: 10 };
+    let limits = Limits { max_head_bytes: 200, max_headers: 3, max_frame_bytes: 10 };
     let long = format!("GET /{} HTTP/1.1\r\nhost: a\r\n\r\n", "x".repeat(300));
     let fault = requests(&[long.as_bytes()], limits).unwrap_err();
-    assert_eq!((fault.status(), &fault), (431, &Malformed::HeadTooLong(200)));
+    assert_eq!((fault.status(), &fault), (431, &ParseError::HeadTooLong(200)));
     let many = "GET / HTTP/1.1\r\nhost: a\r\na: 1\r\nb: 2\r\nc: 3\r\n\r\n";
     assert_eq!(requests(&[many.as_bytes()], limits).unwrap_err().status(), 431);
     // A head that never ends is cut off at the bound, not kept.
     let drip = vec![b"x".as_slice(); 400];
-    assert_eq!(requests(&drip, limits).unwrap_err(), Malformed::HeadTooLong(200));
+    assert_eq!(requests(&drip, limits).unwrap_err(), ParseError::HeadTooLong(200));
 }
 
 #[test]
@@ -102,7 +105,7 @@
 fn responses_are_framed_by_their_request_and_status() {
     let read = |method: &Method, text: &str, closed: bool| {
         let (mut d, mut buf) = (ResponseDecoder::new(Limits::default()), BytesMut::from(text));
-        d.expect(method);
+        d.set_request_method(method);
         let mut out = Vec::new();
         loop {
             let next = if closed { d.decode_eof(&mut buf) } else { d.decode(&mut buf) };
@@ -130,12 +133,12 @@
     assert_eq!(read(&Method::Get, "HTTP/1.1 200 OK\r\n\r\nhi", true), ["200 UntilClose", "hi", "end"]);
     assert_eq!(
         read(&Method::Get, "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhi", true),
-        ["200 Length(9)", "hi", "Cut"]
+        ["200 Length(9)", "hi", "UnexpectedEof"]
     );
-    assert_eq!(read(&Method::Get, "HTTP/1.1 200", true), ["Cut"]);
+    assert_eq!(read(&Method::Get, "HTTP/1.1 200", true), ["UnexpectedEof"]);
     assert!(read(&Method::Get, "HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n", false)
         [0]
-    .contains("TwoLengths"));
+    .contains("DuplicateContentLength"));
 }
 
 #[test]
@@ -157,7 +160,7 @@
     assert_eq!(text, "HTTP/1.1 200 OK\r\nx-a: 1\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhey\r\n0\r\n\r\n");
     let target = Target::parse("/a/b?CMCD=br%3D5&x=1".into()).unwrap();
     assert_eq!(
-        (target.path(), target.argument("CMCD"), target.argument("y")),
+        (target.path(), target.query_argument("CMCD"), target.query_argument("y")),
         ("/a/b", Some("br%3D5"), None)
     );
     assert_eq!(percent_decode(&percent_encode("a\"b,c=é")).as_deref(), Some("a\"b,c=é"));
@@ -180,7 +183,7 @@
         "\\PC{0,5}".prop_map(|s| s),
     ];
     let texts = proptest::collection::vec(token, 0..14).prop_map(|v| v.concat().into_bytes());
-    let limits = Limits { head_bytes: 120, headers: 4, frame_bytes: 2 };
+    let limits = Limits { max_head_bytes: 120, max_headers: 4, max_frame_bytes: 2 };
     runner(3000)
         .run(&(texts, 1usize..9), |(bytes, size)| {
             let whole = requests(&[&bytes], limits);
--- a/crates/lab/src/client/handover.rs
+++ b/crates/lab/src/client/handover.rs
@@ -64,7 +64,7 @@
     let server = world.stood_at(sid)?;
     let name = world.site.classes.0.get(class)?.name.as_str().to_owned();
     let title = title_id(&title);
-    let (home, copies) = (world.site.first_cell(title), world.site.fleet.copies.value);
+    let (home, copies) = (world.site.home_cell(title), world.site.fleet.cells_per_title.value);
     let route = format!("home:{home};copies:{copies};top:{top};at:{}", crate::standin::server_name(server));
     let headers = [("X-Service", name), ("X-Setup-Ms", WAIT_MS.to_owned()), ("X-Route", route)];
     let uri = format!("rtsp://media/{title:016x}");
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -68,7 +68,7 @@
     let dir = |source| DayError::Dir { dir: options.dir.display().to_string(), source };
     std::fs::create_dir_all(&options.dir).map_err(dir)?;
     // What was kept of another day would be lies.
-    for front in 0..script.fronts.count() {
+    for front in 0..script.fronts.as_usize() {
         forget(&keep_file(&options.dir, front));
     }
     let mut fleet = plan::fleet(script);
@@ -88,7 +88,7 @@
         object: script.viewers.object_ms.get(),
         bytes_per_kb: script.fleet.bytes_per_kb.get(),
         vary: script.fleet.vary.get(),
-        fronts: if options.platform { script.fronts.count() } else { 0 },
+        fronts: if options.platform { script.fronts.as_usize() } else { 0 },
         asked: Mutex::default(),
         stood: Mutex::default(),
     });
@@ -98,7 +98,7 @@
     let mut leading = JoinSet::new();
     let wires = match script.wires || script.members {
         true if !options.platform => {
-            let n = script.fronts.count();
+            let n = script.fronts.as_usize();
             let ids: Vec<u64> = servers.keys().copied().collect();
             let wires =
                 Wires::start(n, &ids, discovery.address, options.host, script.seed.get(), log.clone()).await;
@@ -115,7 +115,7 @@
         dir: options.dir.clone(),
         discovery: discovery.address,
         settings: day.front.clone(),
-        fronts: script.fronts.count(),
+        fronts: script.fronts.as_usize(),
         seed: script.seed.get(),
         record: options.record,
         mode: options.mode,
@@ -183,8 +183,8 @@
         day: script.name.as_str().into(),
         seed: script.seed.get(),
         policy: options.policy.to_string(),
-        servers: script.fleet.servers.count(),
-        fronts: script.fronts.count(),
+        servers: script.fleet.servers.as_usize(),
+        fronts: script.fronts.as_usize(),
         viewers: count,
         score: audience.tally.score(),
         toppled: rules::toppled(&exchanges),
@@ -202,7 +202,7 @@
 fn shift(script: &crate::script::Script, start: Duration) -> crate::script::Script {
     let mut out = script.clone();
     for t in &mut out.troubles {
-        t.at_ms = t.at_ms.later(start);
+        t.at_ms = t.at_ms.saturating_add(start);
     }
     out
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -161,8 +161,8 @@
     Ok(Comparison {
         day: s.name.as_str().into(),
         seed: s.seed.get(),
-        servers: s.fleet.servers.count(),
-        fronts: s.fronts.count(),
+        servers: s.fleet.servers.as_usize(),
+        fronts: s.fronts.as_usize(),
         restarted,
         undisturbed: undisturbed.score.served,
         reference,
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -72,7 +72,7 @@
 pub fn fleet(script: &Script) -> Fleet {
     let (f, told) = (&script.fleet, &script.front);
     let mut rng = stream(script.seed.get(), "fleet");
-    let racks = told.fleet.racks.count().max(1);
+    let racks = told.fleet.rack_count.as_usize().max(1);
     let mut servers = std::collections::BTreeMap::new();
     let mut links = vec![0.0; racks];
     let total = f.servers.get();
@@ -86,7 +86,7 @@
         let kind = bounds.iter().position(|b| i < *b).unwrap_or(f.kinds.len() - 1);
         let kind = &f.kinds[kind];
         let link_kb = kind.link_kb.get() * spread(&mut rng, f.uneven.get());
-        let cell = i % told.fleet.cells.get().max(1);
+        let cell = i % told.fleet.cell_count.get().max(1);
         links[(cell % racks as u64) as usize] += link_kb;
         let facts = ServerFacts {
             id: 101 + i,
@@ -95,7 +95,7 @@
             cell,
             weight: 1.0,
             link_kb,
-            streams: kind.streams.count(),
+            streams: kind.streams.as_usize(),
             setup: f.setup_ms.get(),
         };
         let mut server = Server::new(facts);
@@ -104,7 +104,7 @@
         server.active = script.viewers.object_ms.get() * 3;
         servers.insert(101 + i, server);
     }
-    let uplink = |sum: f64, rng: &mut ChaCha8Rng| match told.fleet.racks.get() {
+    let uplink = |sum: f64, rng: &mut ChaCha8Rng| match told.fleet.rack_count.get() {
         0 => f64::INFINITY,
         _ => sum * f.uplink.get() * spread(rng, f.uneven.get()),
     };
@@ -116,10 +116,10 @@
 pub fn cold(script: &Script) -> ColdFacts {
     let rules = &script.front.rules;
     ColdFacts {
-        span: rules.cold_ms.get(),
-        from: rules.cold_from.get(),
-        multiple: rules.fall_multiple.get(),
-        window: rules.fall_ms.get(),
+        span: rules.warm_up_ms.get(),
+        from: rules.cold_capacity_fraction.get(),
+        multiple: rules.overload_multiple.get(),
+        window: rules.overload_window_ms.get(),
         slack: script.fleet.slack.get(),
     }
 }
@@ -130,10 +130,10 @@
     let uplinks: f64 = fleet.racks.iter().map(|r| r.uplink_kb).sum();
     let ladder = &script.front.ladder.0;
     let middle =
-        (ladder[(ladder.len() - 1) / 2].rate_kb.get() * ladder[ladder.len() / 2].rate_kb.get()).sqrt();
+        (ladder[(ladder.len() - 1) / 2].kb_per_s.get() * ladder[ladder.len() / 2].kb_per_s.get()).sqrt();
     let classes = script.viewers.classes.iter().map(|p| {
         let class = script.front.classes.0.iter().find(|c| c.name == p.name);
-        class.map_or(1.0, |c| c.scale.get()) * p.permille.get() as f64 / 1e3
+        class.map_or(1.0, |c| c.rate_scale.get()) * p.permille.get() as f64 / 1e3
     });
     let scale: f64 = classes.sum();
     let life = mean_life(script);
@@ -242,7 +242,7 @@
     let class = script.front.classes.0.iter().position(|c| c.name == *part).unwrap_or(0);
     let weights: Vec<f64> = v.tenants.iter().map(|p| p.permille.get() as f64).collect();
     let tenant = tenant_index(script, pick(rng, &weights));
-    let titles: Vec<f64> = (1..=v.titles.count()).map(|n| (n as f64).powf(-v.zipf.get())).collect();
+    let titles: Vec<f64> = (1..=v.titles.as_usize()).map(|n| (n as f64).powf(-v.zipf.get())).collect();
     let title = format!("{}-{}", part.as_str(), pick(rng, &titles));
     let rungs = script.front.ladder.0.len();
     let small = rng.random::<f64>() < v.small_screens.get();
--- a/crates/lab/src/rules/ration.rs
+++ b/crates/lab/src/rules/ration.rs
@@ -18,8 +18,8 @@
 
 pub(super) fn check(all: &[Exchange], script: &Script) -> Verdict {
     let mut check = Check::new(6, "further attempts in their budget");
-    let Some(ration) = &script.front.rules.ration else { return check.verdict };
-    let span = ration.span_ms.get();
+    let Some(ration) = &script.front.rules.retry_budget else { return check.verdict };
+    let span = ration.window_ms.get();
     let mut taken: BTreeMap<usize, Vec<Duration>> = BTreeMap::new();
     let mut further: BTreeMap<usize, Vec<Duration>> = BTreeMap::new();
     let mut seen = BTreeSet::new();
@@ -37,7 +37,7 @@
                 let n = all.iter().filter(|t| within(t, span.saturating_sub(WAY))).count();
                 let of = taken.get(front).map(Vec::as_slice).unwrap_or_default();
                 let took = of.iter().filter(|t| within(t, span + WAY)).count();
-                let most = ration.free.get() as f64 + ration.share.get() * took as f64;
+                let most = ration.base.get() as f64 + ration.per_session.get() * took as f64;
                 if n as f64 > most {
                     check.breach(*arrived, || {
                         format!("front-{front}: {n} further attempts in {} s, {most:.1} allowed for {took} sessions", span.as_secs())
--- a/crates/lab/src/rules/setups.rs
+++ b/crates/lab/src/rules/setups.rs
@@ -67,7 +67,7 @@
 
 pub(super) fn check(all: &[Exchange], script: &Script) -> Verdict {
     let mut check = Check::new(2, "no paid set-up twice, never two attempts out");
-    let paid = |class: usize| script.front.classes.0.get(class).is_some_and(|c| c.paid);
+    let paid = |class: usize| script.front.classes.0.get(class).is_some_and(|c| c.at_most_once);
     let mut sids: BTreeMap<&Arc<str>, Attempts> = BTreeMap::new();
     let calls = Calls::of(all);
     let mut wires = Late::default();
--- a/crates/lab/src/rules/terms.rs
+++ b/crates/lab/src/rules/terms.rs
@@ -49,7 +49,7 @@
             }
             Seen::SetupRead { sid, kbps, server, front, class, title, arrived, .. } => {
                 rung(&mut check, e.at, sid, *kbps, &callers, &ladders, script);
-                if classes.get(*class).is_some_and(|c| c.seats.get() > 0) {
+                if classes.get(*class).is_some_and(|c| c.max_sessions_per_title.get() > 0) {
                     // A wire may bring it when its viewer has gone: it takes no seat any more.
                     let late = wires.entered(*front, *server, *arrived).is_some();
                     let gone = late && waiting.get(sid) == Some(&0);
@@ -84,7 +84,7 @@
         }
     }
     for ((front, class, title), all) in &seats {
-        let most = classes[*class].seats.count();
+        let most = classes[*class].max_sessions_per_title.as_usize();
         for s in all {
             check.case();
             let held = all.iter().filter(|o| o.from <= s.from && o.to > s.from + SETTLE).count();
@@ -120,8 +120,8 @@
     check.case();
     let Some((class, viewer_top)) = callers.get(sid) else { return };
     let (class_facts, ladder) = (&script.front.classes.0[*class], &ladders[*class]);
-    let floor = class_facts.floor.as_ref().map_or(0, |f| f.value);
-    let top = class_facts.top.as_ref().map_or(ladder.len() - 1, |t| t.value).min(*viewer_top);
+    let floor = class_facts.min_rung.as_ref().map_or(0, |f| f.value);
+    let top = class_facts.max_rung.as_ref().map_or(ladder.len() - 1, |t| t.value).min(*viewer_top);
     let fine = ladder.iter().position(|k| *k == kbps).is_some_and(|r| r >= floor && r <= top);
     if !fine {
         check.breach(at, || {
--- a/crates/lab/src/score.rs
+++ b/crates/lab/src/score.rs
@@ -127,10 +127,10 @@
                 breaks: 0,
             }),
             worths: classes.iter().map(|c| c.worth.get()).collect(),
-            aims: classes.iter().map(|c| c.aim_ms.get()).collect(),
+            aims: classes.iter().map(|c| c.target_setup_ms.get()).collect(),
             names: classes.iter().map(|c| c.name.as_str().to_string()).collect(),
             rungs: script.front.ladder.0.iter().map(|r| r.worth.get()).collect(),
-            tops: classes.iter().map(|c| c.top.as_ref().map_or(highest, |t| t.value)).collect(),
+            tops: classes.iter().map(|c| c.max_rung.as_ref().map_or(highest, |t| t.value)).collect(),
             stall: script.viewers.stall.get(),
             start,
         }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -2,7 +2,7 @@
 
 mod trouble;
 
-use cloverhollow_settings::{read_yaml, FrontSettings, Ms, Name, Num, Real, SettingsError};
+use cloverhollow_settings::{read_yaml, Decimal, FrontSettings, Int, Millis, Name, SettingsError};
 use serde::Deserialize;
 use std::path::Path;
 use std::time::Duration;
@@ -15,18 +15,18 @@
     /// Its name.
     pub name: Name,
     /// Seed of all that is drawn.
-    pub seed: Num<0, 9_007_199_254_740_991>,
+    pub seed: Int<0, 9_007_199_254_740_991>,
     /// How long viewers come; 1 s to an hour.
-    pub length_ms: Ms<1_000, 3_600_000>,
+    pub length_ms: Millis<1_000, 3_600_000>,
     /// What the fronts are told: a file of settings without `instance`, `listen`, `side`, `discovery`.
     pub front: FrontSettings,
     /// How many fronts; 1 to 1,000.
-    pub fronts: Num<1, 1_000>,
+    pub fronts: Int<1, 1_000>,
     /// Time that a list change takes to be noticed, at least and at most.
-    pub notice_ms: (Ms<0, 60_000>, Ms<0, 60_000>),
+    pub notice_ms: (Millis<0, 60_000>, Millis<0, 60_000>),
     /// A front that subscribes during the day hears its first list so late; 0 to a minute. Default 0.
     #[serde(default)]
-    pub first_list_ms: Ms<0, 60_000>,
+    pub first_list_ms: Millis<0, 60_000>,
     /// The servers as they truly are.
     pub fleet: TrueFleet,
     /// The viewers.
@@ -49,11 +49,11 @@
     /// Its name.
     pub name: Name,
     /// How many servers in a thousand are of it.
-    pub permille: Num<0, 1_000>,
+    pub permille: Int<0, 1_000>,
     /// What its link gives, kB a second.
-    pub link_kb: Real<1, 1_000_000_000_000>,
+    pub link_kb: Decimal<1, 1_000_000_000_000>,
     /// Streams that it runs at most.
-    pub streams: Num<1, 1_000_000>,
+    pub streams: Int<1, 1_000_000>,
 }
 
 /// The servers as they truly are.
@@ -61,27 +61,27 @@
 #[serde(deny_unknown_fields)]
 pub struct TrueFleet {
     /// How many; 1 to 10,000.
-    pub servers: Num<1, 10_000>,
+    pub servers: Int<1, 10_000>,
     /// The halls that they stand in, in turn.
     pub halls: Vec<Name>,
     /// Their kinds.
     pub kinds: Vec<TrueKind>,
     /// A rack's uplink over the sum of its links; 0.01 to 10.
-    pub uplink: Real<10, 10_000>,
+    pub uplink: Decimal<10, 10_000>,
     /// How far links and uplinks lie above or below that; 0 to 0.9.
-    pub uneven: Real<0, 900>,
+    pub uneven: Decimal<0, 900>,
     /// How far titles' true rates lie above or below the ladder; 0 to 0.9.
-    pub vary: Real<0, 900>,
+    pub vary: Decimal<0, 900>,
     /// Time that a set-up takes; 0 to 10 s.
-    pub setup_ms: Ms<0, 10_000>,
+    pub setup_ms: Millis<0, 10_000>,
     /// Set-ups are turned away while this part of the link is asked; 0: never.
-    pub full_from: Real<0, 10_000>,
+    pub full_from: Decimal<0, 10_000>,
     /// Load reports are refreshed so often; 10 ms to 10 s.
-    pub report_every_ms: Ms<10, 10_000>,
+    pub report_every_ms: Millis<10, 10_000>,
     /// Bytes of an object for each kB a second of its rate; 0 to 10,000.
-    pub bytes_per_kb: Real<0, 10_000_000>,
+    pub bytes_per_kb: Decimal<0, 10_000_000>,
     /// Set-ups that chance may add to a cold server's budget before it falls; 0 to 100.
-    pub slack: Real<0, 100_000>,
+    pub slack: Decimal<0, 100_000>,
 }
 
 /// Demand at a time; between two, it goes in a straight line.
@@ -89,9 +89,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Demand {
     /// When.
-    pub at_ms: Ms<0, 3_600_000>,
+    pub at_ms: Millis<0, 3_600_000>,
     /// Load 1 fills 92% of links and uplinks at the middle rate; 0 to 10.
-    pub load: Real<0, 10_000>,
+    pub load: Decimal<0, 10_000>,
 }
 
 /// A part of all viewers.
@@ -101,7 +101,7 @@
     /// The class's or tenant's name.
     pub name: Name,
     /// How many viewers in a thousand.
-    pub permille: Num<0, 1_000>,
+    pub permille: Int<0, 1_000>,
 }
 
 /// The viewers.
@@ -111,43 +111,43 @@
     /// Demand over the day, by rising time.
     pub demand: Vec<Demand>,
     /// How long a session is watched, at least and at most.
-    pub life_ms: (Ms<100, 3_600_000>, Ms<100, 3_600_000>),
+    pub life_ms: (Millis<100, 3_600_000>, Millis<100, 3_600_000>),
     /// Their classes.
     pub classes: Vec<Part>,
     /// Their tenants.
     pub tenants: Vec<Part>,
     /// Titles of each class; 1 to 100,000.
-    pub titles: Num<1, 100_000>,
+    pub titles: Int<1, 100_000>,
     /// How far some titles are wanted more than others: the n-th by 1/n to this power; 0 to 3.
-    pub zipf: Real<0, 3_000>,
+    pub zipf: Decimal<0, 3_000>,
     /// The part of them that cannot use the upper half of the ladder; 0 to 1.
-    pub small_screens: Real<0, 1_000>,
+    pub small_screens: Decimal<0, 1_000>,
     /// The part of them that comes again after a break or a refusal; 0 to 1.
-    pub returns: Real<0, 1_000>,
+    pub returns: Decimal<0, 1_000>,
     /// When they come again, at least and at most.
-    pub rejoin_ms: (Ms<0, 60_000>, Ms<0, 60_000>),
+    pub rejoin_ms: (Millis<0, 60_000>, Millis<0, 60_000>),
     /// The part of them that hangs up while it waits; 0 to 1.
-    pub hang_up: Real<0, 1_000>,
+    pub hang_up: Decimal<0, 1_000>,
     /// The part of them that goes without a word at its end; 0 to 1.
-    pub silent_end: Real<0, 1_000>,
+    pub silent_end: Decimal<0, 1_000>,
     /// The part of them whose hints are wrong or contradictory; 0 to 1.
-    pub odd_hints: Real<0, 1_000>,
+    pub odd_hints: Decimal<0, 1_000>,
     /// The part of them that asks twice at once, on two connections; 0 to 1.
-    pub twice: Real<0, 1_000>,
+    pub twice: Decimal<0, 1_000>,
     /// The part of them that, when a front breaks off before its answer, sends the same request to it again, as
     /// HTTP clients may; 0 to 1. Default 0.
     #[serde(default = "none")]
-    pub resends: Real<0, 1_000>,
+    pub resends: Decimal<0, 1_000>,
     /// Playing time of an object; 100 ms to a minute.
-    pub object_ms: Ms<100, 60_000>,
+    pub object_ms: Millis<100, 60_000>,
     /// Points of worth lost for each point of the rate that is missing under 98 in 100; 0 to 100.
-    pub stall: Real<0, 100_000>,
+    pub stall: Decimal<0, 100_000>,
     /// The part of them that uses a front of its own hall; 0 to 1.
-    pub own_hall: Real<0, 1_000>,
+    pub own_hall: Decimal<0, 1_000>,
 }
 
-fn none() -> Real<0, 1_000> {
-    Real::least()
+fn none() -> Decimal<0, 1_000> {
+    Decimal::min()
 }
 
 /// A script and its front settings as they are handed to processes.
--- a/crates/lab/src/script/trouble.rs
+++ b/crates/lab/src/script/trouble.rs
@@ -2,7 +2,7 @@
 
 use super::Script;
 use crate::wires::{Effect, End, Side};
-use cloverhollow_settings::{Ms, Name, Real, SettingsError};
+use cloverhollow_settings::{Decimal, Millis, Name, SettingsError};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -127,16 +127,16 @@
     /// What it is.
     pub kind: Kind,
     /// When it begins.
-    pub at_ms: Ms<0, 3_600_000>,
+    pub at_ms: Millis<0, 3_600_000>,
     /// How long it lasts.
     #[serde(default = "zero")]
-    pub for_ms: Ms<0, 3_600_000>,
+    pub for_ms: Millis<0, 3_600_000>,
     /// The part of servers, fronts or racks that it befalls, at least one; 0 to 1.
     #[serde(default = "whole")]
-    pub share: Real<0, 1_000>,
+    pub share: Decimal<0, 1_000>,
     /// How much, as the kind says; 0 to 1,000.
     #[serde(default = "whole_size")]
-    pub size: Real<0, 1_000_000>,
+    pub size: Decimal<0, 1_000_000>,
     /// Whose burst it is.
     pub tenant: Option<Name>,
     /// In which state fronts are killed.
@@ -165,16 +165,16 @@
     vec![End::Fronts]
 }
 
-fn zero() -> Ms<0, 3_600_000> {
-    Ms::default()
+fn zero() -> Millis<0, 3_600_000> {
+    Millis::default()
 }
 
-fn whole() -> Real<0, 1_000> {
-    Real::one()
+fn whole() -> Decimal<0, 1_000> {
+    Decimal::one()
 }
 
-fn whole_size() -> Real<0, 1_000_000> {
-    Real::one()
+fn whole_size() -> Decimal<0, 1_000_000> {
+    Decimal::one()
 }
 
 impl Trouble {
--- a/crates/lab/src/standin/mod.rs
+++ b/crates/lab/src/standin/mod.rs
@@ -20,7 +20,7 @@
 
 /// The front that a request came from, by the number at the end of its name in `Via`.
 fn front_of(headers: &Headers) -> usize {
-    let via = headers.text("via").unwrap_or_default();
+    let via = headers.get_str("via").unwrap_or_default();
     via.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(usize::MAX)
 }
 
--- a/crates/lab/src/standin/platform.rs
+++ b/crates/lab/src/standin/platform.rs
@@ -65,7 +65,7 @@
         mut conn: ServerConn,
         head: RequestHead,
     ) {
-        let last = head.headers.text("last-event-id").and_then(|n| n.parse().ok()).unwrap_or(0);
+        let last = head.headers.get_str("last-event-id").and_then(|n| n.parse().ok()).unwrap_or(0);
         let Some(Ok(RequestFrame::End)) = conn.next().await else { return };
         let mut out = ResponseHead::new(200, 0);
         out.framing = Framing::Chunked;
@@ -141,39 +141,39 @@
     };
     let top = f.ladder.0.len() - 1;
     let ms = |d: Duration| d.as_millis() as u64;
-    let mut invariants = json!({"cold": ms(f.rules.cold_ms.get()), "cold-from": f.rules.cold_from.get(),
-        "drain-grace": ms(f.rules.drain_grace_ms.get()), "fall": ms(f.rules.fall_ms.get()),
-        "fall-multiple": f.rules.fall_multiple.get()});
-    if let Some(r) = &f.rules.ration {
-        invariants["budget-free"] = r.free.get().into();
-        invariants["extra-share"] = r.share.get().into();
-        invariants["budget-span"] = ms(r.span_ms.get()).into();
+    let mut invariants = json!({"cold": ms(f.rules.warm_up_ms.get()), "cold-from": f.rules.cold_capacity_fraction.get(),
+        "drain-grace": ms(f.rules.drain_grace_ms.get()), "fall": ms(f.rules.overload_window_ms.get()),
+        "fall-multiple": f.rules.overload_multiple.get()});
+    if let Some(r) = &f.rules.retry_budget {
+        invariants["budget-free"] = r.base.get().into();
+        invariants["extra-share"] = r.per_session.get().into();
+        invariants["budget-span"] = ms(r.window_ms.get()).into();
     }
     let settings = json!({
         "balancers": script.fronts.get(), "discovery": "pushed", "index": front, "weights": "none",
         "domain": {
             "class-live": per_class(&|c| c.live.into()),
-            "class-top": per_class(&|c| c.top.as_ref().map_or(top, |t| t.value).into()),
-            "floor-by-class": per_class(&|c| c.floor.as_ref().map_or(0, |f| f.value).into()),
-            "scale-by-class": per_class(&|c| c.scale.get().into()),
-            "seats": per_class(&|c| c.seats.get().into()),
-            "join": f.fleet.join.get(),
+            "class-top": per_class(&|c| c.max_rung.as_ref().map_or(top, |t| t.value).into()),
+            "floor-by-class": per_class(&|c| c.min_rung.as_ref().map_or(0, |f| f.value).into()),
+            "scale-by-class": per_class(&|c| c.rate_scale.get().into()),
+            "seats": per_class(&|c| c.max_sessions_per_title.get().into()),
+            "join": f.fleet.join_cost_fraction.get(),
             "ladder-worth": f.ladder.0.iter().map(|r| r.worth.get()).collect::<Vec<_>>(),
-            "level-kb": f.ladder.0.iter().map(|r| r.rate_kb.get()).collect::<Vec<_>>(),
-            "link-unit-kb": f.fleet.link_unit_kb.get(), "rack-link-kb": f.fleet.rack_uplink_kb.get(),
-            "places": f.fleet.cells.get(), "shelves": f.fleet.racks.get(),
-            "places-by-kind": f.fleet.kinds.iter().map(|k| k.streams.get()).collect::<Vec<_>>(),
-            "told-every": ms(f.reports.every_ms.get()), "told-late": ms(f.reports.late_ms.get()),
+            "level-kb": f.ladder.0.iter().map(|r| r.kb_per_s.get()).collect::<Vec<_>>(),
+            "link-unit-kb": f.fleet.link_unit_kb_per_s.get(), "rack-link-kb": f.fleet.rack_uplink_kb_per_s.get(),
+            "places": f.fleet.cell_count.get(), "shelves": f.fleet.rack_count.get(),
+            "places-by-kind": f.fleet.kinds.iter().map(|k| k.max_streams.get()).collect::<Vec<_>>(),
+            "told-every": ms(f.load_reports.interval_ms.get()), "told-late": ms(f.load_reports.delay_ms.get()),
         },
-        "grades": per_class(&|c| json!({"name": c.name.as_str(), "aim": ms(c.aim_ms.get()),
-            "deadline": ms(c.deadline_ms.get()), "effect": if c.paid { "at_most_once" } else { "idempotent" },
+        "grades": per_class(&|c| json!({"name": c.name.as_str(), "aim": ms(c.target_setup_ms.get()),
+            "deadline": ms(c.deadline_ms.get()), "effect": if c.at_most_once { "at_most_once" } else { "idempotent" },
             "importance": c.worth.get()})),
         "invariants": invariants,
         "kinds": f.fleet.kinds.iter().map(|k| k.name.as_str()).collect::<Vec<_>>(),
-        "limits": {"connect-timeout": ms(f.servers.connect_ms.get()), "idle-close": 15_000,
-            "max-retry-after": ms(f.limits.hold_off_ms.get()), "most-tries": f.limits.attempts.get(), "retry-after": true},
-        "tenants": f.tenants.iter().map(|t| json!({"name": t.name.as_str(), "quota-per-s": t.quota.get()})).collect::<Vec<_>>(),
-        "over-share-worth": f.limits.over_share_worth.get(),
+        "limits": {"connect-timeout": ms(f.servers.connect_timeout_ms.get()), "idle-close": 15_000,
+            "max-retry-after": ms(f.limits.max_retry_after_ms.get()), "most-tries": f.limits.max_attempts.get(), "retry-after": true},
+        "tenants": f.tenants.iter().map(|t| json!({"name": t.name.as_str(), "quota-per-s": t.quota_per_s.get()})).collect::<Vec<_>>(),
+        "over-share-worth": f.limits.over_quota_worth.get(),
     });
     let own = front_host(host, front);
     json!({"name": format!("n{front}"), "listen": format!("{own}:0"), "seed": format!("{seed:x}"),
--- a/crates/lab/src/standin/server.rs
+++ b/crates/lab/src/standin/server.rs
@@ -280,11 +280,11 @@
     async fn object(&self, conn: &mut ServerConn, head: &RequestHead, arrived: Duration) -> Option<()> {
         let mut hints = Record::default();
         for group in Group::ALL {
-            if let Some(text) = head.headers.text(group.header()) {
+            if let Some(text) = head.headers.get_str(group.header()) {
                 hints.read_header(group, text, &mut HintFaults::default());
             }
         }
-        let found = self.world.site.mapping.path.find(head.target.path());
+        let found = self.world.site.mapping.path.match_path(head.target.path());
         let (Some(sid), Some(found)) = (hints.sid.clone(), found) else {
             return write_response(conn, ResponseHead::new(404, 0), Bytes::new()).await.ok();
         };
@@ -320,7 +320,7 @@
         let mut open = OpenSetup { log: self.world.log.clone(), server, sid: sid.clone(), status: None };
         if !ran {
             open.status = Some(503);
-            let hop = Hop { unrun: true, reason: Some("full".into()), ..self.hop(kbps) };
+            let hop = Hop { not_executed: true, reason: Some("full".into()), ..self.hop(kbps) };
             return self.say(conn, 503, hop, 0).await;
         }
         if verdict == SetupVerdict::Topples {
@@ -359,10 +359,10 @@
         let load: Option<LoadTold> = fleet.servers.get(&self.id).and_then(|s| s.told(at));
         Hop {
             name: format!("server-{}", self.id),
-            throughput: Some((f64::from(kbps) * fleet.share(now, self.id)) as u32),
+            throughput_kbps: Some((f64::from(kbps) * fleet.share(now, self.id)) as u32),
             streams: load.map(|l| l.streams as u32),
-            link: load.map(|l| l.link),
-            rack: load.map(|l| l.rack),
+            link_utilization: load.map(|l| l.link),
+            rack_utilization: load.map(|l| l.rack),
             ..Hop::default()
         }
     }
@@ -370,17 +370,17 @@
     async fn say(&self, conn: &mut ServerConn, status: u16, hop: Hop, kbps: u32) -> Option<()> {
         let size = (f64::from(kbps) / 8.0 * self.world.bytes_per_kb) as usize;
         let mut head = ResponseHead::new(status, size);
-        head.headers.push(cmsd::DYNAMIC, hop.write());
+        head.headers.push(cmsd::DYNAMIC_HEADER, hop.serialize());
         if status == 200 {
             let object = Static {
                 name: Some("stand-in".into()),
-                bitrate: Some(kbps),
-                duration: Some(self.world.object.as_millis() as u32),
-                object: Some("v".into()),
-                stream: Some("v".into()),
+                bitrate_kbps: Some(kbps),
+                duration_ms: Some(self.world.object.as_millis() as u32),
+                object_type: Some("v".into()),
+                stream_type: Some("v".into()),
                 ..Static::default()
             };
-            head.headers.push(cmsd::STATIC, object.write());
+            head.headers.push(cmsd::STATIC_HEADER, object.serialize());
         }
         write_response(conn, head, vec![b'v'; size]).await.ok()
     }
--- a/crates/lab/src/standin/sides.rs
+++ b/crates/lab/src/standin/sides.rs
@@ -65,7 +65,7 @@
 impl Standing {
     /// Notes on one session of each front: link and uplink now and then, short delivery while it lasts.
     pub(super) async fn notes(self: Arc<Self>, sides: Arc<Sides>) {
-        let every = self.world.site.reports.every_ms.get();
+        let every = self.world.site.load_reports.interval_ms.get();
         let (mut next, mut short) = (Duration::ZERO, false);
         loop {
             sleep(NOTE).await;
--- a/crates/lab/src/troubles/kill_when.rs
+++ b/crates/lab/src/troubles/kill_when.rs
@@ -7,7 +7,7 @@
     /// Kills each of the fronts the instant that the servers see it in the state, and starts it again later.
     pub(super) async fn kill_when(self: Arc<Self>, c: &Cast, end: Duration) {
         let Some(when) = c.trouble.when else { return };
-        let paid: Vec<bool> = self.script.front.classes.0.iter().map(|class| class.paid).collect();
+        let paid: Vec<bool> = self.script.front.classes.0.iter().map(|class| class.at_most_once).collect();
         let (mut watch, mut waiting) = (Watch::new(when, paid), c.fronts.clone());
         let mut lives = JoinSet::new();
         while self.log.now() < end && !waiting.is_empty() {
--- a/crates/lab/src/viewer_http.rs
+++ b/crates/lab/src/viewer_http.rs
@@ -5,7 +5,7 @@
 use crate::viewer::{Audience, Try, CONNECT, LATE};
 use bytes::Bytes;
 use cloverhollow_hints::cmcd::{
-    EventKind, Format, Kbps, Millis, ObjectType, PlayState, Record, StreamType, QUERY, REPORT_TYPE,
+    EventKind, Format, Kbps, Millis, ObjectType, PlayState, Record, StreamType, QUERY_PARAM, REPORT_MIME_TYPE,
 };
 use cloverhollow_hints::cmsd;
 use cloverhollow_hints::{Faults, Group};
@@ -32,13 +32,13 @@
 }
 
 fn heard(head: &ResponseHead) -> Heard {
-    let dynamic = head.headers.joined(cmsd::DYNAMIC).unwrap_or_default();
+    let dynamic = head.headers.joined(cmsd::DYNAMIC_HEADER).unwrap_or_default();
     let hops = cmsd::read_dynamic(&dynamic, &mut Faults::default());
-    let object = head.headers.text(cmsd::STATIC).unwrap_or_default();
-    let br = cmsd::read_static(object, &mut Faults::default()).bitrate.unwrap_or(0);
+    let object = head.headers.get_str(cmsd::STATIC_HEADER).unwrap_or_default();
+    let br = cmsd::read_static(object, &mut Faults::default()).bitrate_kbps.unwrap_or(0);
     let front = hops.last();
-    let etp = hops.first().filter(|_| hops.len() > 1).and_then(|h| h.throughput);
-    let after = head.headers.text("retry-after").and_then(|t| t.parse().ok()).unwrap_or(0.0);
+    let etp = hops.first().filter(|_| hops.len() > 1).and_then(|h| h.throughput_kbps);
+    let after = head.headers.get_str("retry-after").and_then(|t| t.parse().ok()).unwrap_or(0.0);
     Heard {
         status: head.status,
         reason: front.and_then(|h| h.reason.clone()),
@@ -89,14 +89,14 @@
         }
         let mut path = self.path(v, object);
         if let Some(q) = &query {
-            path = format!("{path}?{QUERY}={}", percent_encode(&q.line()));
+            path = format!("{path}?{QUERY_PARAM}={}", percent_encode(&q.to_line()));
         }
         // Paths are made of names and numbers: always a target.
         let target = Target::parse(path.into()).unwrap_or_else(|| unreachable!("a path of names"));
         let mut head = RequestHead::get(target);
         head.headers.push("host", "front");
         for group in Group::ALL {
-            let text = r.header(group);
+            let text = r.to_header(group);
             if !text.is_empty() {
                 head.headers.push(group.header(), text);
             }
@@ -166,7 +166,7 @@
                 Ok((conn, told))
             }
             // Those of paid classes stay away after a failure (it may have run).
-            502 | 504 if class.paid => Err(Try::Done),
+            502 | 504 if class.at_most_once => Err(Try::Done),
             _ => Err(Try::Again(told.after)),
         }
     }
@@ -183,7 +183,7 @@
             Ok(playing) => playing,
             Err(end) => return end,
         };
-        let in_time = self.log.now() - began <= self.script.front.classes.0[v.class].aim_ms.get();
+        let in_time = self.log.now() - began <= self.script.front.classes.0[v.class].target_setup_ms.get();
         let every = self.script.viewers.object_ms.get();
         let (start, end) = (self.log.now(), v.at + v.length);
         let mut object = 0;
@@ -238,11 +238,12 @@
             v: Some(2),
             ..Record::default()
         };
-        let body = record.line() + "\n";
-        let Some(target) = Target::parse(self.script.front.mapping.reports.clone().into()) else { return };
+        let body = record.to_line() + "\n";
+        let path = self.script.front.mapping.report_path.clone();
+        let Some(target) = Target::parse(path.into()) else { return };
         let mut head = RequestHead::post(target, body.len());
         head.headers.push("host", "front");
-        head.headers.push("content-type", REPORT_TYPE);
+        head.headers.push("content-type", REPORT_MIME_TYPE);
         self.log.put(Seen::ViewerOver { sid: sid.clone() });
         let _ = timeout(CONNECT, conn.exchange(head, body.into(), MOST)).await;
     }
--- a/crates/lab/src/viewer_rtsp.rs
+++ b/crates/lab/src/viewer_rtsp.rs
@@ -42,7 +42,7 @@
         let site = &self.script.front;
         let title = title_id(&v.title);
         let class = &site.classes.0[v.class];
-        let (home, copies) = (site.first_cell(title), site.fleet.copies.value);
+        let (home, copies) = (site.home_cell(title), site.fleet.cells_per_title.value);
         let route = format!(
             "home:{home};copies:{copies};top:{};viewer:{:016x};again:{}",
             v.top,
@@ -164,7 +164,7 @@
         self.tally.answered(status, waited);
         match status {
             200 => {}
-            502 | 504 if class.paid => return Try::Done,
+            502 | 504 if class.at_most_once => return Try::Done,
             _ => return Try::Again(wait),
         }
         self.tally.playing(v, waited);
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{ClientCodec, WireError};
 use bytes::Bytes;
-use cloverhollow_http::{Limits, Malformed, RequestFrame, RequestHead, ResponseFrame, ResponseHead};
+use cloverhollow_http::{Limits, ParseError, RequestFrame, RequestHead, ResponseFrame, ResponseHead};
 use futures_util::{SinkExt, StreamExt};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -69,9 +69,9 @@
                 self.keep_alive &= head.keep_alive;
                 Ok(head)
             }
-            Some(Ok(_)) => Err(Malformed::Syntax("a body without a head").into()),
+            Some(Ok(_)) => Err(ParseError::Syntax("a body without a head").into()),
             Some(Err(e)) => Err(e),
-            None => Err(Malformed::Cut.into()),
+            None => Err(ParseError::UnexpectedEof.into()),
         }
     }
 
@@ -83,9 +83,9 @@
         match self.framed.next().await {
             Some(Ok(ResponseFrame::Data(data))) => Ok(Some(data)),
             Some(Ok(ResponseFrame::End)) => Ok(None),
-            Some(Ok(ResponseFrame::Head(_))) => Err(Malformed::Syntax("a head inside a body").into()),
+            Some(Ok(ResponseFrame::Head(_))) => Err(ParseError::Syntax("a head inside a body").into()),
             Some(Err(e)) => Err(e),
-            None => Err(Malformed::Cut.into()),
+            None => Err(ParseError::UnexpectedEof.into()),
         }
     }
 
--- a/crates/net/src/codec.rs
+++ b/crates/net/src/codec.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use cloverhollow_http::{
-    Limits, Malformed, RequestDecoder, RequestEncoder, RequestFrame, ResponseDecoder, ResponseEncoder,
+    Limits, ParseError, RequestDecoder, RequestEncoder, RequestFrame, ResponseDecoder, ResponseEncoder,
     ResponseFrame,
 };
 use tokio_util::codec::{Decoder, Encoder};
@@ -12,7 +12,7 @@
 pub enum WireError {
     /// The peer sent bytes that are not a valid HTTP message.
     #[error(transparent)]
-    Malformed(#[from] Malformed),
+    Malformed(#[from] ParseError),
     /// A socket operation failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -43,7 +43,7 @@
     fn decode_eof(&mut self, buf: &mut BytesMut) -> Result<Option<RequestFrame>, WireError> {
         match self.decoder.decode(buf)? {
             Some(frame) => Ok(Some(frame)),
-            None if self.decoder.is_inside(buf) => Err(Malformed::Cut.into()),
+            None if self.decoder.has_partial_request(buf) => Err(ParseError::UnexpectedEof.into()),
             None => Ok(None),
         }
     }
@@ -90,7 +90,7 @@
 
     fn encode(&mut self, frame: RequestFrame, buf: &mut BytesMut) -> Result<(), WireError> {
         if let RequestFrame::Head(head) = &frame {
-            self.decoder.expect(&head.method);
+            self.decoder.set_request_method(&head.method);
         }
         self.encoder.encode(&frame, buf);
         Ok(())
--- a/crates/net/src/serve.rs
+++ b/crates/net/src/serve.rs
@@ -46,7 +46,7 @@
             Some(Ok(RequestFrame::End)) => return Ok(Some(body)),
             Some(Ok(_)) => return Ok(None),
             Some(Err(e)) => return Err(e),
-            None => return Err(cloverhollow_http::Malformed::Cut.into()),
+            None => return Err(cloverhollow_http::ParseError::UnexpectedEof.into()),
         }
     }
 }
--- a/crates/session/src/arrival.rs
+++ b/crates/session/src/arrival.rs
@@ -33,8 +33,8 @@
 
 /// Bit rates of a class by rung, kbps.
 pub fn rates_kbps(settings: &FrontSettings, class: usize) -> Vec<u32> {
-    let scale = settings.classes.0.get(class).map_or(1.0, |c| c.scale.get());
-    settings.ladder.0.iter().map(|r| to_kbps(r.rate_kb.get() * scale)).collect()
+    let scale = settings.classes.0.get(class).map_or(1.0, |c| c.rate_scale.get());
+    settings.ladder.0.iter().map(|r| to_kbps(r.kb_per_s.get() * scale)).collect()
 }
 
 /// Converts kilobytes per second to kilobits per second.
@@ -63,7 +63,7 @@
     payload: A,
 ) -> Result<Arrival<A>, ArrivalError> {
     let record = &hints.record;
-    let found = settings.mapping.path.find(path).ok_or(ArrivalError::Path)?;
+    let found = settings.mapping.path.match_path(path).ok_or(ArrivalError::Path)?;
     let classes = &settings.classes.0;
     let class = match found.class {
         Some(name) => classes.iter().position(|c| c.name.as_str() == name).ok_or(ArrivalError::Class)?,
@@ -80,7 +80,7 @@
     // A hinted deadline of zero is ignored: a hint that cannot be met must not cost the viewer its session.
     let hinted_deadline = record.dl.filter(|d| d.0 > 0).map(|Millis(ms)| Duration::from_millis(ms.into()));
     // Contradictory hints prove nothing about the session's past.
-    let hinted_startup = record.su || hints.contradictions.has(Contradiction::StartupWithBuffer);
+    let hinted_startup = record.su || hints.contradictions.contains(Contradiction::StartupWithBuffer);
     let plays = matches!(
         record.sta,
         Some(PlayState::Playing | PlayState::Rebuffering | PlayState::Paused | PlayState::Seeking)
@@ -91,8 +91,8 @@
         viewer,
         sid,
         title,
-        first_cell: settings.first_cell(title),
-        cell_count: fleet.copies.value.min(fleet.cells.get()),
+        first_cell: settings.home_cell(title),
+        cell_count: fleet.cells_per_title.value.min(fleet.cell_count.get()),
         repeated: false,
         class,
         tenant,
--- a/crates/session/src/config.rs
+++ b/crates/session/src/config.rs
@@ -68,23 +68,23 @@
         let classes = &settings.classes.0;
         CoreConfig {
             classes: (classes.iter())
-                .map(|c| ClassConfig { paid: c.paid, deadline: c.deadline_ms.get() })
+                .map(|c| ClassConfig { paid: c.at_most_once, deadline: c.deadline_ms.get() })
                 .collect(),
             rates_kbps: (0..classes.len()).map(|c| arrival::rates_kbps(settings, c).into()).collect(),
             server_kinds: settings.fleet.kinds.iter().map(|k| k.name.as_str().to_owned()).collect(),
-            zone: settings.instance.hall.as_str().to_owned(),
-            retry_after: settings.limits.hold_off_ms.get(),
-            answer_margin: settings.sessions.margin_ms.get(),
-            max_sessions: settings.sessions.most.count(),
-            max_waiting: settings.sessions.waiting.count(),
-            idle_timeout: Some(settings.sessions.idle_ms.get()),
+            zone: settings.instance.zone.as_str().to_owned(),
+            retry_after: settings.limits.max_retry_after_ms.get(),
+            answer_margin: settings.sessions.deadline_margin_ms.get(),
+            max_sessions: settings.sessions.max_sessions.as_usize(),
+            max_waiting: settings.sessions.max_waiting_requests.as_usize(),
+            idle_timeout: Some(settings.sessions.idle_timeout_ms.get()),
             persistence: Some(PersistenceConfig {
                 instance_id: title_id(settings.instance.name.as_str()),
-                fleet_id: title_id(settings.peers.fleet.as_str()),
-                horizon: settings.peers.horizon_ms.get(),
-                max_paid_sessions: settings.sessions.spent.count(),
-                retry_budget: settings.rules.ration.is_some(),
-                max_list_delay: settings.discovery.late_ms.get(),
+                fleet_id: title_id(settings.peers.fleet_name.as_str()),
+                horizon: settings.peers.max_age_ms.get(),
+                max_paid_sessions: settings.sessions.max_spent_sessions.as_usize(),
+                retry_budget: settings.rules.retry_budget.is_some(),
+                max_list_delay: settings.discovery.max_list_delay_ms.get(),
             }),
         }
     }
--- a/crates/session/src/core/viewers.rs
+++ b/crates/session/src/core/viewers.rs
@@ -68,7 +68,7 @@
     /// Logs hints that could not be used, in one line for each session.
     pub(super) fn log_dropped_hints(&self, arrival: &Arrival<A>) {
         if arrival.hint_faults.total() > 0 || !arrival.hint_contradictions.is_empty() {
-            let tokens: Vec<_> = arrival.hint_contradictions.iter().map(Contradiction::word).collect();
+            let tokens: Vec<_> = arrival.hint_contradictions.iter().map(Contradiction::label).collect();
             tracing::info!(
                 session = %arrival.sid,
                 dropped = %arrival.hint_faults,
@@ -85,9 +85,9 @@
         if session.title != arrival.title || session.class != arrival.class {
             found.add(Contradiction::ContentChanged);
         }
-        let new = session.contradictions.learn(found);
+        let new = session.contradictions.insert_all(found);
         for contradiction in new.iter() {
-            tracing::info!(session = %session.sid, contradicted = contradiction.word(), "hints dropped");
+            tracing::info!(session = %session.sid, contradicted = contradiction.label(), "hints dropped");
             increment(&self.stats.contradictions[contradiction as usize]);
         }
         let answer = match &session.phase {
--- a/crates/session/src/stats.rs
+++ b/crates/session/src/stats.rs
@@ -57,7 +57,7 @@
     pub fn record_hints(&self, faults: &Faults, contradictions: Contradictions) {
         if faults.total() > 0 {
             for (fault, counter) in Fault::ALL.into_iter().zip(&self.hint_faults) {
-                counter.fetch_add(faults.of(fault).into(), Relaxed);
+                counter.fetch_add(faults.count(fault).into(), Relaxed);
             }
         }
         contradictions.iter().for_each(|c| increment(&self.contradictions[c as usize]));
@@ -103,7 +103,7 @@
             line("hints_dropped", &format!("{{fault=\"{fault}\"}}"), counter);
         }
         for (contradiction, counter) in Contradiction::ALL.into_iter().zip(&self.contradictions) {
-            line("hints_contradicted", &format!("{{pair=\"{}\"}}", contradiction.word()), counter);
+            line("hints_contradicted", &format!("{{pair=\"{}\"}}", contradiction.label()), counter);
         }
         out
     }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -25,16 +25,20 @@
                 return fault(0, format!("{field}[{i}]"), format!("{} comes twice", list[i]));
             }
         }
-        if m.answer_ms.get() * 2 > m.probe_ms.get() {
+        if m.probe_timeout_ms.get() * 2 > m.probe_interval_ms.get() {
             return fault(0, "members.answer_ms".into(), "over half of members.probe_ms".into());
         }
-        if self.out.fleet.value > 20 {
-            let what = format!("{} is not in 0..=20", self.out.fleet.value);
-            return fault(self.out.fleet.referenced.line(), "out.fleet".into(), what);
+        if self.out_of_service.max_in_fleet.value > 20 {
+            let what = format!("{} is not in 0..=20", self.out_of_service.max_in_fleet.value);
+            return fault(self.out_of_service.max_in_fleet.referenced.line(), "out.fleet".into(), what);
         }
-        if self.out.is_on() && (m.listen.is_none() || m.witnesses.is_empty()) {
+        if self.out_of_service.is_enabled() && (m.listen.is_none() || m.witnesses.is_empty()) {
             let what = "needs members.listen and members.witnesses: permits are had of a majority of them";
-            return fault(self.out.fleet.referenced.line(), "out.fleet".into(), what.into());
+            return fault(
+                self.out_of_service.max_in_fleet.referenced.line(),
+                "out.fleet".into(),
+                what.into(),
+            );
         }
         Ok(())
     }
--- a/crates/settings/src/fields/classes.rs
+++ b/crates/settings/src/fields/classes.rs
@@ -1,7 +1,7 @@
 //! Classes, tenants and rungs.
 
-use super::MINUTE;
-use crate::ranged::{Ms, Name, Num, Real};
+use super::MINUTE_MS;
+use crate::ranged::{Decimal, Int, Millis, Name};
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
@@ -12,42 +12,43 @@
     /// Its name, as the path has it.
     pub name: Name,
     /// A set-up is wanted playing within this time; 1 ms to a minute.
-    pub aim_ms: Ms<1, MINUTE>,
+    #[serde(rename = "aim_ms")]
+    pub target_setup_ms: Millis<1, MINUTE_MS>,
     /// The viewer gives up after this time; 1 ms to a minute.
-    pub deadline_ms: Ms<1, MINUTE>,
+    pub deadline_ms: Millis<1, MINUTE_MS>,
     /// Paid at set-up: may be set up once only. Default false.
-    #[serde(default)]
-    pub paid: bool,
+    #[serde(rename = "paid", default)]
+    pub at_most_once: bool,
     /// Worth of one second at a rung of worth 1; 0 to 1,000. Default 1.
     #[serde(default = "one")]
-    pub worth: Real<0, 1_000_000>,
+    pub worth: Decimal<0, 1_000_000>,
     /// Its rates over those of the ladder; 0.01 to 100. Default 1.
-    #[serde(default = "unit")]
-    pub scale: Real<10, 100_000>,
+    #[serde(rename = "scale", default = "unit")]
+    pub rate_scale: Decimal<10, 100_000>,
     /// The lowest rung it may play at, from 0. Default 0.
-    #[serde(default)]
-    pub floor: Option<Spanned<usize>>,
+    #[serde(rename = "floor", default)]
+    pub min_rung: Option<Spanned<usize>>,
     /// The highest rung it may play at. Default the highest of the ladder.
-    #[serde(default)]
-    pub top: Option<Spanned<usize>>,
+    #[serde(rename = "top", default)]
+    pub max_rung: Option<Spanned<usize>>,
     /// Whether its titles are live. Default false.
     #[serde(default)]
     pub live: bool,
     /// Sessions of one title that this front may hold; 0: no cap; 0 to 1,000,000. Default 0.
-    #[serde(default = "none")]
-    pub seats: Num<0, 1_000_000>,
+    #[serde(rename = "seats", default = "none")]
+    pub max_sessions_per_title: Int<0, 1_000_000>,
 }
 
-fn one() -> Real<0, 1_000_000> {
-    Real::of(1.0)
+fn one() -> Decimal<0, 1_000_000> {
+    Decimal::of(1.0)
 }
 
-fn unit() -> Real<10, 100_000> {
-    Real::of(1.0)
+fn unit() -> Decimal<10, 100_000> {
+    Decimal::of(1.0)
 }
 
-fn none() -> Num<0, 1_000_000> {
-    Num::of(0)
+fn none() -> Int<0, 1_000_000> {
+    Int::of(0)
 }
 
 /// The classes.
@@ -59,15 +60,15 @@
     fn default() -> Self {
         Classes(vec![Class {
             name: Name::of("video"),
-            aim_ms: Ms::of(1_000),
-            deadline_ms: Ms::of(3_000),
-            paid: false,
+            target_setup_ms: Millis::of(1_000),
+            deadline_ms: Millis::of(3_000),
+            at_most_once: false,
             worth: one(),
-            scale: unit(),
-            floor: None,
-            top: None,
+            rate_scale: unit(),
+            min_rung: None,
+            max_rung: None,
             live: false,
-            seats: none(),
+            max_sessions_per_title: none(),
         }])
     }
 }
@@ -79,12 +80,12 @@
     /// Its name, as the path has it.
     pub name: Name,
     /// Sessions a second within its share, over all fronts; 0: not told; 0 to 1,000,000. Default 0.
-    #[serde(default = "no_quota")]
-    pub quota: Real<0, 1_000_000_000>,
+    #[serde(rename = "quota", default = "no_quota")]
+    pub quota_per_s: Decimal<0, 1_000_000_000>,
 }
 
-fn no_quota() -> Real<0, 1_000_000_000> {
-    Real::of(0.0)
+fn no_quota() -> Decimal<0, 1_000_000_000> {
+    Decimal::of(0.0)
 }
 
 /// One rung of the ladder.
@@ -92,9 +93,10 @@
 #[serde(deny_unknown_fields)]
 pub struct Rung {
     /// Its rate, kB a second; 0.001 to 1,000,000.
-    pub rate_kb: Real<1, 1_000_000_000>,
+    #[serde(rename = "rate_kb")]
+    pub kb_per_s: Decimal<1, 1_000_000_000>,
     /// What it earns, the top being 1; 0 to 1.
-    pub worth: Real<0, 1_000>,
+    pub worth: Decimal<0, 1_000>,
 }
 
 /// The ladder.
@@ -104,7 +106,7 @@
 
 impl Default for Ladder {
     fn default() -> Self {
-        let rung = |rate, worth| Rung { rate_kb: Real::of(rate), worth: Real::of(worth) };
+        let rung = |rate, worth| Rung { kb_per_s: Decimal::of(rate), worth: Decimal::of(worth) };
         Ladder(vec![rung(200.0, 0.25), rung(500.0, 0.55), rung(1000.0, 0.8), rung(2000.0, 1.0)])
     }
 }
--- a/crates/settings/src/fields/discovery.rs
+++ b/crates/settings/src/fields/discovery.rs
@@ -1,7 +1,7 @@
 //! The discovery service.
 
-use super::{HOUR, MINUTE};
-use crate::ranged::Ms;
+use super::{HOUR_MS, MINUTE_MS};
+use crate::ranged::Millis;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -14,14 +14,18 @@
     /// Path of its event stream. Default `/v1/servers`.
     pub path: String,
     /// A stream without a line for so long is broken; 100 ms to an hour. Default 15 s.
-    pub silent_ms: Ms<100, HOUR>,
+    #[serde(rename = "silent_ms")]
+    pub silence_timeout_ms: Millis<100, HOUR_MS>,
     /// First wait before the stream is asked for again, doubled up to the next; 10 ms to a minute. Default 200 ms.
-    pub again_ms: Ms<10, MINUTE>,
+    #[serde(rename = "again_ms")]
+    pub min_retry_delay_ms: Millis<10, MINUTE_MS>,
     /// Longest such wait; 10 ms to an hour. Default 5 s.
-    pub again_most_ms: Ms<10, HOUR>,
+    #[serde(rename = "again_most_ms")]
+    pub max_retry_delay_ms: Millis<10, HOUR_MS>,
     /// How late the list may tell of a server's start: for so long a front that came back takes any server for
     /// one that may be cold; 0 to a minute. Default 5 s.
-    pub late_ms: Ms<0, MINUTE>,
+    #[serde(rename = "late_ms")]
+    pub max_list_delay_ms: Millis<0, MINUTE_MS>,
 }
 
 impl Default for Discovery {
@@ -29,10 +33,10 @@
         Discovery {
             address: ([127, 0, 0, 1], 9000).into(),
             path: "/v1/servers".into(),
-            silent_ms: Ms::of(15_000),
-            again_ms: Ms::of(200),
-            again_most_ms: Ms::of(5_000),
-            late_ms: Ms::of(5_000),
+            silence_timeout_ms: Millis::of(15_000),
+            min_retry_delay_ms: Millis::of(200),
+            max_retry_delay_ms: Millis::of(5_000),
+            max_list_delay_ms: Millis::of(5_000),
         }
     }
 }
--- a/crates/settings/src/fields/persistence.rs
+++ b/crates/settings/src/fields/persistence.rs
@@ -1,14 +1,14 @@
 //! State that survives a restart.
 
-use super::{HOUR, MINUTE};
-use crate::ranged::{Ms, Num};
+use super::{HOUR_MS, MINUTE_MS};
+use crate::ranged::{Int, Millis};
 use serde::Deserialize;
 use std::path::PathBuf;
 
 /// What a deed must have reached before it is done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Outlives {
+pub enum Durability {
     /// The system's cache: it outlives this process, killed at whatever instant.
     #[default]
     Process,
@@ -19,25 +19,27 @@
 /// What this front keeps over a stop or a death: its last list, its knowledge, and its deeds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Keep {
+pub struct Persistence {
     /// The file, an embedded store of this front alone; absent: nothing is kept, and each start takes what the
     /// rules count over a span for spent. Deeds go beside it, into `.deeds`. Default none.
     pub file: Option<PathBuf>,
     /// What deeds must outlive: `process` or `machine`. Default `process`.
-    pub outlives: Outlives,
+    #[serde(rename = "outlives")]
+    pub durability: Durability,
     /// What follows from deaths one after the other.
     pub restarts: Restarts,
     /// A new list is kept at once; knowledge that changed, so often; 100 ms to an hour. Default 5 s.
-    pub knowledge_ms: Ms<100, HOUR>,
+    #[serde(rename = "knowledge_ms")]
+    pub knowledge_interval_ms: Millis<100, HOUR_MS>,
 }
 
-impl Default for Keep {
+impl Default for Persistence {
     fn default() -> Self {
-        Keep {
+        Persistence {
             file: None,
-            outlives: Outlives::Process,
+            durability: Durability::Process,
             restarts: Restarts::default(),
-            knowledge_ms: Ms::of(5_000),
+            knowledge_interval_ms: Millis::of(5_000),
         }
     }
 }
@@ -47,22 +49,25 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Restarts {
     /// Deaths are counted over this; 0: never; 0 to an hour. Default a minute.
-    pub window_ms: Ms<0, HOUR>,
+    pub window_ms: Millis<0, HOUR_MS>,
     /// So many of them cost nothing; 0 to 60. Default 3.
-    pub free: Num<0, 60>,
+    #[serde(rename = "free")]
+    pub free_restarts: Int<0, 60>,
     /// The wait after the next one, doubled for each further; 0 to a minute. Default 500 ms.
-    pub first_ms: Ms<0, MINUTE>,
+    #[serde(rename = "first_ms")]
+    pub min_delay_ms: Millis<0, MINUTE_MS>,
     /// The longest wait; 0 to an hour. Default 10 s.
-    pub most_ms: Ms<0, HOUR>,
+    #[serde(rename = "most_ms")]
+    pub max_delay_ms: Millis<0, HOUR_MS>,
 }
 
 impl Default for Restarts {
     fn default() -> Self {
         Restarts {
-            window_ms: Ms::of(60_000),
-            free: Num::of(3),
-            first_ms: Ms::of(500),
-            most_ms: Ms::of(10_000),
+            window_ms: Millis::of(60_000),
+            free_restarts: Int::of(3),
+            min_delay_ms: Millis::of(500),
+            max_delay_ms: Millis::of(10_000),
         }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,8 +9,8 @@
 mod ranged;
 
 pub use fields::*;
-pub use mapping::{title_id, Found, Mapping, Pattern, TitleFrom};
-pub use ranged::{Ms, Name, Num, Real};
+pub use mapping::{title_id, Mapping, PathMatch, Pattern, TitleFrom};
+pub use ranged::{Decimal, Int, Millis, Name};
 
 use serde::de::DeserializeOwned;
 use std::path::Path;
@@ -111,7 +111,7 @@
         if rungs == 0 || rungs > 64 {
             return fault(0, "ladder".into(), format!("{rungs} rungs are not in 1..=64"));
         }
-        let rates: Vec<f64> = self.ladder.0.iter().map(|r| r.rate_kb.get()).collect();
+        let rates: Vec<f64> = self.ladder.0.iter().map(|r| r.kb_per_s.get()).collect();
         if let Some(i) = rates.windows(2).position(|w| w[0] >= w[1]) {
             return fault(
                 0,
@@ -127,26 +127,26 @@
             if classes[..i].iter().any(|d| d.name == c.name) {
                 return fault(0, format!("classes[{i}].name"), format!("`{}` comes twice", c.name.as_str()));
             }
-            for (field, rung) in [("floor", &c.floor), ("top", &c.top)] {
+            for (field, rung) in [("floor", &c.min_rung), ("top", &c.max_rung)] {
                 if let Some(r) = rung.as_ref().filter(|r| r.value >= rungs) {
                     let what = format!("{} is not in 0..={}", r.value, rungs - 1);
                     return fault(r.referenced.line(), format!("classes[{i}].{field}"), what);
                 }
             }
-            if let (Some(floor), Some(top)) = (&c.floor, &c.top) {
+            if let (Some(floor), Some(top)) = (&c.min_rung, &c.max_rung) {
                 if floor.value > top.value {
                     let what = format!("{} is over the class's top {}", floor.value, top.value);
                     return fault(floor.referenced.line(), format!("classes[{i}].floor"), what);
                 }
             }
-            if c.aim_ms.get() > c.deadline_ms.get() {
+            if c.target_setup_ms.get() > c.deadline_ms.get() {
                 return fault(0, format!("classes[{i}].aim_ms"), "over the class's deadline_ms".into());
             }
-            if self.sessions.margin_ms.get() >= c.deadline_ms.get() {
+            if self.sessions.deadline_margin_ms.get() >= c.deadline_ms.get() {
                 return fault(0, "sessions.margin_ms".into(), format!("not under classes[{i}].deadline_ms"));
             }
         }
-        let (copies, cells) = (&self.fleet.copies, self.fleet.cells.get());
+        let (copies, cells) = (&self.fleet.cells_per_title, self.fleet.cell_count.get());
         if cells > 0 && !(1..=cells).contains(&copies.value) {
             let what = format!("{} is not in 1..={cells}, the cells", copies.value);
             return fault(copies.referenced.line(), "fleet.copies".into(), what);
@@ -155,7 +155,7 @@
             return fault(0, "fleet.kinds".into(), "0 kinds are not in 1..=64".into());
         }
         for (field, path) in
-            [("discovery.path", &self.discovery.path), ("mapping.reports", &self.mapping.reports)]
+            [("discovery.path", &self.discovery.path), ("mapping.reports", &self.mapping.report_path)]
         {
             let fine = path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic() && b != b'?');
             if !fine {
@@ -167,7 +167,7 @@
             }
         }
         self.check_members(file)?;
-        if self.discovery.again_ms.get() > self.discovery.again_most_ms.get() {
+        if self.discovery.min_retry_delay_ms.get() > self.discovery.max_retry_delay_ms.get() {
             return fault(0, "discovery.again_ms".into(), "over discovery.again_most_ms".into());
         }
         Ok(())
@@ -177,53 +177,53 @@
     pub fn decisions(&self) -> cloverhollow::Settings {
         let highest = self.ladder.0.len() - 1;
         let class = |c: &Class| cloverhollow::Class {
-            target_setup_time: c.aim_ms.get(),
-            at_most_once: c.paid,
+            target_setup_time: c.target_setup_ms.get(),
+            at_most_once: c.at_most_once,
             worth: c.worth.get(),
-            rate_scale: c.scale.get(),
-            min_rung: c.floor.as_ref().map_or(0, |f| f.value),
-            max_rung: c.top.as_ref().map_or(highest, |t| t.value),
+            rate_scale: c.rate_scale.get(),
+            min_rung: c.min_rung.as_ref().map_or(0, |f| f.value),
+            max_rung: c.max_rung.as_ref().map_or(highest, |t| t.value),
             live: c.live,
-            max_sessions_per_title: c.seats.count(),
+            max_sessions_per_title: c.max_sessions_per_title.as_usize(),
         };
         let r = &self.rules;
         cloverhollow::Settings {
-            front_count: self.instance.fronts.count(),
-            front_index: self.instance.number.map(|n| n.count()),
+            front_count: self.instance.front_count.as_usize(),
+            front_index: self.instance.front_index.map(|n| n.as_usize()),
             classes: self.classes.0.iter().map(class).collect(),
             ladder: (self.ladder.0.iter())
-                .map(|r| cloverhollow::Rung { rate_kb_per_s: r.rate_kb.get(), worth: r.worth.get() })
+                .map(|r| cloverhollow::Rung { rate_kb_per_s: r.kb_per_s.get(), worth: r.worth.get() })
                 .collect(),
             tenants: self
                 .tenants
                 .iter()
-                .map(|t| cloverhollow::Tenant { quota_per_s: t.quota.get() })
+                .map(|t| cloverhollow::Tenant { quota_per_s: t.quota_per_s.get() })
                 .collect(),
-            over_quota_worth: self.limits.over_share_worth.get(),
-            max_streams_by_kind: self.fleet.kinds.iter().map(|k| k.streams.get() as f64).collect(),
-            link_unit_kb_per_s: self.fleet.link_unit_kb.get(),
-            sized_by_weight: self.fleet.weights_tell_size,
-            rack_uplink_kb_per_s: self.fleet.rack_uplink_kb.get(),
-            cell_count: self.fleet.cells.get(),
-            rack_count: self.fleet.racks.get(),
-            join_cost_fraction: self.fleet.join.get(),
-            report_delay: self.reports.late_ms.get(),
-            report_interval: self.reports.every_ms.get(),
+            over_quota_worth: self.limits.over_quota_worth.get(),
+            max_streams_by_kind: self.fleet.kinds.iter().map(|k| k.max_streams.get() as f64).collect(),
+            link_unit_kb_per_s: self.fleet.link_unit_kb_per_s.get(),
+            sized_by_weight: self.fleet.sized_by_weight,
+            rack_uplink_kb_per_s: self.fleet.rack_uplink_kb_per_s.get(),
+            cell_count: self.fleet.cell_count.get(),
+            rack_count: self.fleet.rack_count.get(),
+            join_cost_fraction: self.fleet.join_cost_fraction.get(),
+            report_delay: self.load_reports.delay_ms.get(),
+            report_interval: self.load_reports.interval_ms.get(),
             limits: cloverhollow::Limits {
-                max_attempts: self.limits.attempts.get() as u32,
-                max_retry_after: self.limits.hold_off_ms.get(),
+                max_attempts: self.limits.max_attempts.get() as u32,
+                max_retry_after: self.limits.max_retry_after_ms.get(),
             },
             rules: cloverhollow::Rules {
-                warm_up: r.cold_ms.get(),
-                cold_capacity_fraction: r.cold_from.get(),
-                overload_multiple: r.fall_multiple.get(),
-                overload_window: r.fall_ms.get(),
-                overload_margin: r.fall_slack.get(),
+                warm_up: r.warm_up_ms.get(),
+                cold_capacity_fraction: r.cold_capacity_fraction.get(),
+                overload_multiple: r.overload_multiple.get(),
+                overload_window: r.overload_window_ms.get(),
+                overload_margin: r.overload_margin.get(),
                 overload_margin_root: 0.0,
-                retry_budget: r.ration.as_ref().map(|r| cloverhollow::RetryBudget {
-                    base: r.free.get() as f64,
-                    per_request: r.share.get(),
-                    window: r.span_ms.get(),
+                retry_budget: r.retry_budget.as_ref().map(|r| cloverhollow::RetryBudget {
+                    base: r.base.get() as f64,
+                    per_request: r.per_session.get(),
+                    window: r.window_ms.get(),
                 }),
                 list_refresh_interval: Duration::ZERO,
             },
@@ -232,12 +232,12 @@
     }
 
     /// Index of a kind that the list names; an unknown one counts as the first.
-    pub fn kind(&self, name: &str) -> usize {
+    pub fn kind_index(&self, name: &str) -> usize {
         self.fleet.kinds.iter().position(|k| k.name.as_str() == name).unwrap_or(0)
     }
 
     /// The cell that a title begins at: equal on all fronts.
-    pub fn first_cell(&self, title: u64) -> u64 {
-        title.checked_rem(self.fleet.cells.get()).unwrap_or(0)
+    pub fn home_cell(&self, title: u64) -> u64 {
+        title.checked_rem(self.fleet.cell_count.get()).unwrap_or(0)
     }
 }
--- a/crates/settings/src/mapping.rs
+++ b/crates/settings/src/mapping.rs
@@ -39,7 +39,7 @@
 
 /// What a path told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Found<'a> {
+pub struct PathMatch<'a> {
     /// The tenant's segment.
     pub tenant: Option<&'a str>,
     /// The class's segment.
@@ -92,9 +92,9 @@
     }
 
     /// Takes a path apart; `None` where it does not fit. No allocation.
-    pub fn find<'a>(&self, path: &'a str) -> Option<Found<'a>> {
+    pub fn match_path<'a>(&self, path: &'a str) -> Option<PathMatch<'a>> {
         let mut parts = path.strip_prefix('/')?.split('/');
-        let mut found = Found::default();
+        let mut found = PathMatch::default();
         for segment in &self.segments {
             let part = parts.next().filter(|p| !p.is_empty())?;
             match segment {
@@ -126,7 +126,8 @@
     /// Which text names the title: `path` or `cid`. Default `path`.
     pub title_from: TitleFrom,
     /// Path that takes event and response reports by POST. Default `/cmcd`.
-    pub reports: String,
+    #[serde(rename = "reports")]
+    pub report_path: String,
 }
 
 impl Default for Mapping {
@@ -136,7 +137,7 @@
         Mapping {
             path: Pattern { segments, open: true },
             title_from: TitleFrom::Path,
-            reports: "/cmcd".into(),
+            report_path: "/cmcd".into(),
         }
     }
 }
--- a/crates/settings/src/ranged.rs
+++ b/crates/settings/src/ranged.rs
@@ -3,14 +3,14 @@
 use serde::{de, Deserialize, Deserializer};
 use std::time::Duration;
 
-/// A whole number from `LO` to `HI`.
+/// A whole number from `MIN` to `MAX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Num<const LO: u64, const HI: u64>(u64);
+pub struct Int<const MIN: u64, const MAX: u64>(u64);
 
-impl<const LO: u64, const HI: u64> Num<LO, HI> {
+impl<const MIN: u64, const MAX: u64> Int<MIN, MAX> {
     /// A default; the caller vouches that it is in range (a test reads all defaults back).
     pub(crate) const fn of(n: u64) -> Self {
-        Num(n)
+        Int(n)
     }
 
     /// The number.
@@ -19,41 +19,41 @@
     }
 
     /// The number, for counts and indices.
-    pub fn count(self) -> usize {
+    pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
 }
 
 /// The nearest number in range.
-impl<const LO: u64, const HI: u64> From<u64> for Num<LO, HI> {
+impl<const MIN: u64, const MAX: u64> From<u64> for Int<MIN, MAX> {
     fn from(n: u64) -> Self {
-        Num(n.clamp(LO, HI))
+        Int(n.clamp(MIN, MAX))
     }
 }
 
-impl<'de, const LO: u64, const HI: u64> Deserialize<'de> for Num<LO, HI> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Int<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let n = i64::deserialize(d)?;
         match u64::try_from(n) {
-            Ok(n) if (LO..=HI).contains(&n) => Ok(Num(n)),
-            _ => Err(de::Error::custom(format_args!("{n} is not in {LO}..={HI}"))),
+            Ok(n) if (MIN..=MAX).contains(&n) => Ok(Int(n)),
+            _ => Err(de::Error::custom(format_args!("{n} is not in {MIN}..={MAX}"))),
         }
     }
 }
 
-/// A span in whole milliseconds from `LO` to `HI`. Its default is the shortest.
+/// A span in whole milliseconds from `MIN` to `MAX`. Its default is the shortest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ms<const LO: u64, const HI: u64>(u64);
+pub struct Millis<const MIN: u64, const MAX: u64>(u64);
 
-impl<const LO: u64, const HI: u64> Ms<LO, HI> {
+impl<const MIN: u64, const MAX: u64> Millis<MIN, MAX> {
     /// A default; the caller vouches that it is in range.
     pub(crate) const fn of(ms: u64) -> Self {
-        Ms(ms)
+        Millis(ms)
     }
 
     /// So much later, the longest at most.
-    pub fn later(self, by: Duration) -> Self {
-        Ms((self.0 + by.as_millis() as u64).min(HI))
+    pub fn saturating_add(self, by: Duration) -> Self {
+        Millis((self.0 + by.as_millis() as u64).min(MAX))
     }
 
     /// The span.
@@ -62,41 +62,41 @@
     }
 }
 
-impl<const LO: u64, const HI: u64> Default for Ms<LO, HI> {
+impl<const MIN: u64, const MAX: u64> Default for Millis<MIN, MAX> {
     fn default() -> Self {
-        Ms(LO)
+        Millis(MIN)
     }
 }
 
-impl<'de, const LO: u64, const HI: u64> Deserialize<'de> for Ms<LO, HI> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Millis<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let n = i64::deserialize(d)?;
         match u64::try_from(n) {
-            Ok(n) if (LO..=HI).contains(&n) => Ok(Ms(n)),
-            _ => Err(de::Error::custom(format_args!("{n} ms is not in {LO}..={HI} ms"))),
+            Ok(n) if (MIN..=MAX).contains(&n) => Ok(Millis(n)),
+            _ => Err(de::Error::custom(format_args!("{n} ms is not in {MIN}..={MAX} ms"))),
         }
     }
 }
 
-/// A number with decimals from `LO` to `HI` thousandths.
+/// A number with decimals from `MIN` to `MAX` thousandths.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Real<const LO: u64, const HI: u64>(f64);
+pub struct Decimal<const MIN: u64, const MAX: u64>(f64);
 
-impl<const LO: u64, const HI: u64> Real<LO, HI> {
+impl<const MIN: u64, const MAX: u64> Decimal<MIN, MAX> {
     /// A default; the caller vouches that it is in range.
     pub(crate) const fn of(n: f64) -> Self {
-        Real(n)
+        Decimal(n)
     }
 
     /// The least in range.
-    pub const fn least() -> Self {
-        Real(LO as f64 / 1e3)
+    pub const fn min() -> Self {
+        Decimal(MIN as f64 / 1e3)
     }
 
     /// 1, or the nearest in range.
     pub const fn one() -> Self {
-        let (lo, hi) = (LO as f64 / 1e3, HI as f64 / 1e3);
-        Real(if lo > 1.0 {
+        let (lo, hi) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
+        Decimal(if lo > 1.0 {
             lo
         } else if hi < 1.0 {
             hi
@@ -111,12 +111,12 @@
     }
 }
 
-impl<'de, const LO: u64, const HI: u64> Deserialize<'de> for Real<LO, HI> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Decimal<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let n = f64::deserialize(d)?;
-        let (lo, hi) = (LO as f64 / 1e3, HI as f64 / 1e3);
+        let (lo, hi) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
         if (lo..=hi).contains(&n) {
-            Ok(Real(n))
+            Ok(Decimal(n))
         } else {
             Err(de::Error::custom(format_args!("{n} is not in {lo}..={hi}")))
         }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -66,12 +66,12 @@
 #[test]
 fn patterns_take_paths_apart_by_their_holes() {
     let p = Pattern::parse("/v1/{tenant}/{class}/{any}/{title}/{object}").unwrap();
-    let f = p.find("/v1/club/clip/x/t-1/a/b.m4s").unwrap();
+    let f = p.match_path("/v1/club/clip/x/t-1/a/b.m4s").unwrap();
     assert_eq!((f.tenant, f.class, f.title), (Some("club"), Some("clip"), Some("t-1")));
-    assert!(p.find("/v2/club/clip/x/t-1/a").is_none());
-    assert!(p.find("/v1/club/clip/x").is_none());
-    assert!(p.find("/v1//clip/x/t-1/a").is_none());
+    assert!(p.match_path("/v2/club/clip/x/t-1/a").is_none());
+    assert!(p.match_path("/v1/club/clip/x").is_none());
+    assert!(p.match_path("/v1//clip/x/t-1/a").is_none());
     let closed = Pattern::parse("/{title}").unwrap();
-    assert!(closed.find("/a").is_some() && closed.find("/a/b").is_none());
+    assert!(closed.match_path("/a").is_some() && closed.match_path("/a/b").is_none());
     assert!(Pattern::parse("/{title}/{title}").is_err());
 }
