--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -2,7 +2,7 @@
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
 fn temp_dir(name: &str) -> PathBuf {
@@ -38,14 +38,35 @@
     let out = run(&["check", "--config", shipped]);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     // Operators would not notice a field that the code has and the shipped file does not mention.
-    let code = include_str!("../../settings/src/fields.rs");
     let text = std::fs::read_to_string(shipped).unwrap();
-    let fields = code.lines().filter_map(|l| l.trim().strip_prefix("pub ")?.split_once(':').map(|f| f.0));
-    for field in fields.filter(|f| f.chars().all(|c| c.is_ascii_lowercase() || c == '_')) {
+    let fields = settings_keys();
+    assert!(fields.len() >= 128, "only {} fields found in the source of the settings", fields.len());
+    for field in fields {
         assert!(text.contains(&format!("{field}:")), "{field} is missing in deploy/front.yaml");
     }
 }
 
+/// Keys of all settings, read from the source of their types: the name given by `rename`, else the field's own.
+fn settings_keys() -> Vec<String> {
+    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../settings/src");
+    let sections = std::fs::read_dir(source.join("fields")).unwrap().map(|entry| entry.unwrap().path());
+    let mut keys = Vec::new();
+    for file in sections.chain([source.join("fields.rs")]) {
+        let code = std::fs::read_to_string(file).unwrap();
+        let mut renamed = None;
+        for line in code.lines().map(str::trim) {
+            if let Some(attribute) = line.strip_prefix("#[serde(rename = \"") {
+                renamed = attribute.split('"').next();
+            }
+            if let Some((field, _)) = line.strip_prefix("pub ").and_then(|item| item.split_once(':')) {
+                keys.push(renamed.take().unwrap_or(field).to_owned());
+            }
+        }
+    }
+    keys.retain(|key| key.chars().all(|c| c.is_ascii_lowercase() || c == '_'));
+    keys
+}
+
 #[test]
 fn front_records_its_steps_and_the_recording_replays_the_same() {
     let dir = temp_dir("serve");
