--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -179,7 +179,10 @@
         tasks.spawn(until(stop.clone(), discovery::run(shared.clone())));
         let asks = !settings.peers.addresses.is_empty();
         if asks {
-            state.set_level(cloverhollow_knowledge::Level::Warming, cloverhollow_knowledge::Why::Asking);
+            state.set_level(
+                cloverhollow_knowledge::KnowledgeLevel::Warming,
+                cloverhollow_knowledge::LevelReason::RequestsPending,
+            );
         }
         tasks.spawn(until(stop.clone(), peers::run(shared.clone(), state.clone(), side_address, outcomes)));
         let members_address = fleet.as_ref().and_then(|(_, socket)| socket.local_addr().ok());
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -1,6 +1,6 @@
 //! The exchange of knowledge with peers: a warm start, then now and then what changed.
 //!
-//! Whom to ask and when is [`Warmer`]'s; here questions go over HTTP to peers' side addresses, and answers by
+//! Whom to ask and when is [`WarmStart`]'s; here questions go over HTTP to peers' side addresses, and answers by
 //! mail to the desk. A question has `peers.deadline_ms` at most; one that is cut off goes on where it was cut
 //! (RFC 9110, section 14, by range and entity tag). Dropping the task drops its questions.
 
@@ -9,8 +9,8 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, ResponseHead, Target};
-use cloverhollow_knowledge::wire::{Message, FORMAT, MOST_BYTES};
-use cloverhollow_knowledge::{Ask, Level, MergeError, WarmSettings, Warmer};
+use cloverhollow_knowledge::wire::{Message, FORMAT, MAX_MESSAGE_BYTES};
+use cloverhollow_knowledge::{KnowledgeLevel, MergeError, PeerRequest, WarmStart, WarmStartConfig};
 use cloverhollow_net::{connect, WireError};
 use cloverhollow_session::{Input, PeerStatus};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
     shared: Arc<Shared>,
     state: Arc<State>,
     me: Option<SocketAddr>,
-    warmer: Warmer,
+    warmer: WarmStart,
     /// Last change heard of each peer: what its next delta is asked after.
     heard: BTreeMap<SocketAddr, u64>,
     questions: JoinSet<(SocketAddr, Got)>,
@@ -64,15 +64,15 @@
     mut outcomes: mpsc::Receiver<Outcome>,
 ) {
     let p = &shared.settings.peers;
-    let set = WarmSettings {
-        parallel: p.parallel.count(),
-        enough: p.enough.count(),
-        hedge: p.hedge_ms.get(),
+    let set = WarmStartConfig {
+        max_parallel: p.parallel.count(),
+        required_warm_answers: p.enough.count(),
+        hedge_delay: p.hedge_ms.get(),
         deadline: p.deadline_ms.get(),
-        jitter: p.jitter_ms.get(),
+        max_jitter: p.jitter_ms.get(),
         horizon: p.horizon_ms.get(),
     };
-    let warmer = Warmer::new(shared.clock.now(), set, fastrand::u64(..), me, &p.addresses);
+    let warmer = WarmStart::new(shared.clock.now(), set, fastrand::u64(..), me, &p.addresses);
     let every = Some(p.every_ms.get()).filter(|e| !e.is_zero());
     let mut peers = Peers {
         state,
@@ -86,14 +86,14 @@
     loop {
         peers.tell_level();
         let now = shared.clock.now();
-        for ask in peers.warmer.due(now) {
+        for ask in peers.warmer.poll(now) {
             peers.ask(ask, None);
         }
         if every.is_some_and(|_| now >= next_delta) {
             next_delta = now + every.unwrap_or_default();
             peers.delta();
         }
-        let due = peers.warmer.next_due().into_iter().chain(every.map(|_| next_delta)).min();
+        let due = peers.warmer.next_poll().into_iter().chain(every.map(|_| next_delta)).min();
         let due = due.unwrap_or(now + Duration::from_secs(3600));
         tokio::select! {
             () = sleep_until(shared.clock.instant(due)) => {}
@@ -107,12 +107,12 @@
     fn tell_level(&self) {
         let (level, why) = self.warmer.level();
         if self.state.set_level(level, why) {
-            tracing::info!(level = level.word(), why = why.words(), "how warm this front is");
+            tracing::info!(level = level.as_str(), why = why.as_str(), "how warm this front is");
         }
         self.state.set_peers(self.warmer.peers().collect());
     }
 
-    fn ask(&mut self, ask: Ask, after: Option<u64>) {
+    fn ask(&mut self, ask: PeerRequest, after: Option<u64>) {
         self.shared.stats.peer_requests.fetch_add(1, Relaxed);
         let (shared, me) = (self.shared.clone(), self.me);
         self.questions.spawn(async move {
@@ -124,13 +124,13 @@
 
     /// What changed at one peer, drawn by chance, since it was last asked.
     fn delta(&mut self) {
-        if self.warmer.level().0 == Level::Warming || !self.questions.is_empty() {
+        if self.warmer.level().0 == KnowledgeLevel::Warming || !self.questions.is_empty() {
             return;
         }
         let all: Vec<SocketAddr> = self.warmer.peers().collect();
         if let Some(peer) = fastrand::choice(all.iter()) {
             let after = self.heard.get(peer).copied();
-            self.ask(Ask { peer: *peer, nonce: fastrand::u64(1..) }, after);
+            self.ask(PeerRequest { peer: *peer, nonce: fastrand::u64(1..) }, after);
         }
     }
 
@@ -140,11 +140,11 @@
                 let told = Input::PeerMessage { peer, requested_at: asked_at, nonce, message };
                 let _ = self.shared.desk.send(Mail::of(told)).await;
             }
-            Got::Busy(after) => self.warmer.busy(self.shared.clock.now(), peer, after),
+            Got::Busy(after) => self.warmer.on_busy(self.shared.clock.now(), peer, after),
             Got::Failed => {
                 // It may have started anew, with numbers of its own.
                 self.heard.remove(&peer);
-                self.warmer.failed(peer);
+                self.warmer.on_failure(peer);
             }
         }
     }
@@ -153,19 +153,19 @@
         match outcome {
             Ok(said) => {
                 self.heard.insert(peer, said.seq);
-                self.warmer.learn(&said.peers);
-                self.warmer.answered(peer, said.level);
+                self.warmer.add_peers(&said.peers);
+                self.warmer.on_answer(peer, said.level);
             }
             Err(_) => {
                 self.heard.remove(&peer);
-                self.warmer.failed(peer);
+                self.warmer.on_failure(peer);
             }
         }
     }
 }
 
 /// Asks until the answer is whole, or it is no use.
-async fn question(shared: &Shared, me: Option<SocketAddr>, ask: Ask, after: Option<u64>) -> Got {
+async fn question(shared: &Shared, me: Option<SocketAddr>, ask: PeerRequest, after: Option<u64>) -> Got {
     let asked_at = shared.clock.now();
     let (mut bytes, mut tag) = (Vec::new(), None);
     for _ in 0..=RESUMES {
@@ -193,7 +193,7 @@
 async fn once(
     shared: &Shared,
     me: Option<SocketAddr>,
-    ask: Ask,
+    ask: PeerRequest,
     after: Option<u64>,
     bytes: &mut Vec<u8>,
     tag: &mut Option<String>,
@@ -228,7 +228,7 @@
     }
     *tag = head.headers.text("etag").map(str::to_string);
     while let Some(data) = conn.read_body_chunk().await? {
-        if bytes.len() + data.len() > MOST_BYTES {
+        if bytes.len() + data.len() > MAX_MESSAGE_BYTES {
             *tag = None;
             return Err(bad("too long"));
         }
--- a/crates/front/src/save.rs
+++ b/crates/front/src/save.rs
@@ -6,7 +6,7 @@
 //! copy, and nothing else.
 
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_knowledge::Level;
+use cloverhollow_knowledge::KnowledgeLevel;
 use cloverhollow_session::{ListUpdate, SavedList, SnapshotCell};
 use cloverhollow_settings::FrontSettings;
 use cloverhollow_store::{Keep, Kept};
@@ -90,7 +90,7 @@
             let view = shelf.latest();
             if let Some(list) = list.filter(|_| new_list || view.seq() != seq) {
                 seq = view.seq();
-                let message = view.message(clock.now(), 0, None, Level::Cold, Vec::new());
+                let message = view.message(clock.now(), 0, None, KnowledgeLevel::Cold, Vec::new());
                 let kept = Kept {
                     list: serde_json::to_vec(&list).unwrap_or_default(),
                     knowledge: message.encode().unwrap_or_default(),
--- a/crates/front/src/side.rs
+++ b/crates/front/src/side.rs
@@ -8,7 +8,7 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{Limits, Method, RequestFrame, ResponseHead};
-use cloverhollow_knowledge::{Feeds, Level, Why, MOST_PEERS};
+use cloverhollow_knowledge::{KnowledgeLevel, KnowledgeTransfers, LevelReason, MAX_PEERS};
 use cloverhollow_net::{write_response, ServerCodec, ServerConn};
 use cloverhollow_session::ServerList;
 use futures_util::StreamExt;
@@ -38,9 +38,9 @@
     before: OnceLock<(String, usize)>,
     /// Viewers are taken from then on, on the front's clock, ms.
     open_ms: AtomicU64,
-    level: Mutex<(Level, Why)>,
+    level: Mutex<(KnowledgeLevel, LevelReason)>,
     peers: Mutex<BTreeSet<SocketAddr>>,
-    feeds: Mutex<Feeds>,
+    feeds: Mutex<KnowledgeTransfers>,
     fleet: Option<Arc<Fleet>>,
 }
 
@@ -57,9 +57,9 @@
             told: AtomicBool::new(false),
             before: OnceLock::new(),
             open_ms: AtomicU64::new(0),
-            level: Mutex::new((Level::Cold, Why::NotBegun)),
+            level: Mutex::new((KnowledgeLevel::Cold, LevelReason::NotStarted)),
             peers: Mutex::new(settings.addresses.iter().copied().collect()),
-            feeds: Mutex::new(Feeds::new(settings.feeds.count(), settings.hold_off_ms.get())),
+            feeds: Mutex::new(KnowledgeTransfers::new(settings.feeds.count(), settings.hold_off_ms.get())),
             fleet,
         }
     }
@@ -89,7 +89,7 @@
     }
 
     /// Sets how warm the front is; whether that changed.
-    pub(crate) fn set_level(&self, level: Level, why: Why) -> bool {
+    pub(crate) fn set_level(&self, level: KnowledgeLevel, why: LevelReason) -> bool {
         std::mem::replace(&mut *lock(&self.level), (level, why)) != (level, why)
     }
 
@@ -97,7 +97,7 @@
     /// discovery has told a whole one.
     pub(crate) async fn settled(&self, list: bool) {
         // Looked at now and then: it is a wait of some hundred milliseconds, once.
-        while lock(&self.level).0 == Level::Warming || (list && !self.told.load(Relaxed)) {
+        while lock(&self.level).0 == KnowledgeLevel::Warming || (list && !self.told.load(Relaxed)) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -120,7 +120,7 @@
     /// Peers that are known from elsewhere.
     pub(crate) fn set_peers(&self, all: Vec<SocketAddr>) {
         let mut peers = lock(&self.peers);
-        let room = MOST_PEERS.saturating_sub(peers.len());
+        let room = MAX_PEERS.saturating_sub(peers.len());
         let new: Vec<_> = all.into_iter().filter(|p| !peers.contains(p)).take(room).collect();
         peers.extend(new);
     }
@@ -212,9 +212,9 @@
         "why": why,
         "before": proven,
         "deaths": deaths,
-        "level": level.word(),
-        "level_why": level_why.words(),
-        "knows_servers": shared.shelf.latest().servers(),
+        "level": level.as_str(),
+        "level_why": level_why.as_str(),
+        "knows_servers": shared.shelf.latest().server_count(),
         "list_version": state.version.load(Relaxed),
         "servers_serving": serving,
         "sessions": state.held.load(Relaxed),
--- a/crates/front/src/side/feed.rs
+++ b/crates/front/src/side/feed.rs
@@ -6,7 +6,7 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, ResponseHead};
-use cloverhollow_knowledge::{wire, MOST_PEERS};
+use cloverhollow_knowledge::{wire, MAX_PEERS};
 use cloverhollow_net::ServerConn;
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -38,8 +38,8 @@
     let begun = lock(&state.feeds).begin();
     if let Err(refused) = begun {
         let mut head = ResponseHead::new(503, 0);
-        head.headers.push("retry-after", refused.after.as_secs_f64().ceil().to_string());
-        head.headers.push(HOLD_OFF, refused.after.as_millis().to_string());
+        head.headers.push("retry-after", refused.retry_after.as_secs_f64().ceil().to_string());
+        head.headers.push(HOLD_OFF, refused.retry_after.as_millis().to_string());
         return say(conn, head, Bytes::new()).await;
     }
     let _feeding = Feeding(state);
@@ -48,14 +48,14 @@
     let text = |name: &str| request.headers.text(name);
     let tag = text("if-range").and_then(|t| t.trim_matches('"').parse().ok());
     let from = text("range").and_then(|r| r.strip_prefix("bytes=")?.strip_suffix('-')?.parse::<usize>().ok());
-    let kept = tag.and_then(|tag| lock(&state.feeds).kept(now, tag));
+    let kept = tag.and_then(|tag| lock(&state.feeds).retained_message(now, tag));
     let (status, kept, from) = match (kept, from) {
         (Some(kept), Some(from)) if from <= kept.bytes.len() => (206, kept, from),
         _ => {
             if let Some(peer) = request.target.argument(FROM).and_then(|a| a.parse().ok()) {
                 state.set_peers(vec![peer]);
             }
-            let peers = lock(&state.peers).iter().copied().take(MOST_PEERS).collect();
+            let peers = lock(&state.peers).iter().copied().take(MAX_PEERS).collect();
             let level = lock(&state.level).0;
             let begun = std::time::Instant::now();
             let message = shared.shelf.latest().message(now, nonce, number(AFTER), level, peers);
@@ -63,14 +63,14 @@
                 return say(conn, ResponseHead::new(500, 0), Bytes::new()).await;
             };
             shared.stats.peer_response_us.fetch_add(begun.elapsed().as_micros() as u64, Relaxed);
-            (200, lock(&state.feeds).keep(now, bytes), 0)
+            (200, lock(&state.feeds).retain_message(now, bytes), 0)
         }
     };
     let rest = Bytes::copy_from_slice(&kept.bytes[from..]);
     shared.stats.peer_response_bytes.fetch_add(rest.len() as u64, Relaxed);
     let mut head = ResponseHead::new(status, rest.len());
     head.headers.push("content-type", "application/vnd.cloverhollow.knowledge");
-    head.headers.push("etag", format!("\"{}\"", kept.tag));
+    head.headers.push("etag", format!("\"{}\"", kept.etag));
     if status == 206 {
         let last = kept.bytes.len().saturating_sub(1);
         head.headers.push("content-range", format!("bytes {from}-{last}/{}", kept.bytes.len()));
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use cloverhollow_http::{Limits, RequestFrame, RequestHead, ResponseHead};
-use cloverhollow_knowledge::facts::{Observer, Standing, State};
+use cloverhollow_knowledge::observations::{ListedState, Observer, ServerStatus};
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_knowledge::{Book, Level};
+use cloverhollow_knowledge::{KnowledgeLevel, KnowledgeStore};
 use cloverhollow_net::{read_body, write_response, ServerCodec, ServerConn};
 use cloverhollow_settings::title_id;
 use common::*;
@@ -48,9 +48,13 @@
 /// What a warm front would say: that server 1 drains since version 9 of the list.
 fn message(nonce: u64, fleet: &str) -> Message {
     let me = Observer { instance: 77, incarnation: 1 };
-    let mut book = Book::new(me, title_id(fleet), Duration::from_secs(30));
-    book.listed(Duration::from_secs(100), 1, State { version: 9, standing: Standing::Draining });
-    book.view().message(Duration::from_secs(101), nonce, None, Level::Warm, Vec::new())
+    let mut book = KnowledgeStore::new(me, title_id(fleet), Duration::from_secs(30));
+    book.record_state(
+        Duration::from_secs(100),
+        1,
+        ListedState { version: 9, status: ServerStatus::Draining },
+    );
+    book.view().message(Duration::from_secs(101), nonce, None, KnowledgeLevel::Warm, Vec::new())
 }
 
 fn whole(nonce: u64) -> Vec<u8> {
--- a/crates/handover/src/ends.rs
+++ b/crates/handover/src/ends.rs
@@ -20,7 +20,7 @@
     /// Known to be dead. If it was told to take the session it may have owned it: what it did with it is not known.
     pub(crate) fn died(&mut self, front: FrontId, out: &mut Vec<Output>) {
         self.bound = self.bound.filter(|b| *b != front);
-        self.owed.forget(front);
+        self.owed.remove(front);
         match self.stage {
             Stage::Offering { to, .. } | Stage::Held { to, .. } if to == front => {
                 self.stage = Stage::Settled;
--- a/crates/handover/src/giver.rs
+++ b/crates/handover/src/giver.rs
@@ -3,7 +3,7 @@
 use crate::events::{Input, Output, Stage};
 use crate::words::{BrokenRow, NoWord, Row};
 use crate::{Attempt, Channel, For, FrontId, Nth, Saying, ToTaker, MOST_ASKED};
-use cloverhollow_moves::{Epoch, Owed};
+use cloverhollow_moves::{Epoch, PendingReleases};
 use thiserror::Error;
 
 /// Most objects that are asked for at a front while it does not know who owns the session.
@@ -54,7 +54,7 @@
     pub(crate) bound: Option<FrontId>,
     /// Connections were asked to be closed for this step.
     pub(crate) shutting: bool,
-    pub(crate) owed: Owed<FrontId>,
+    pub(crate) owed: PendingReleases<FrontId>,
 }
 
 impl Giver {
@@ -67,7 +67,7 @@
         }
         let row = Row::of(&channel.words, &channel.heard, channel.last)?;
         let channel = Channel { words: Vec::new(), heard: Vec::new(), ..channel };
-        let (stage, owed) = (Stage::Settled, Owed::default());
+        let (stage, owed) = (Stage::Settled, PendingReleases::default());
         let (upto, flows, late) = (Nth(0), None, Vec::new());
         let g = Giver {
             me,
--- a/crates/handover/src/hand.rs
+++ b/crates/handover/src/hand.rs
@@ -105,7 +105,7 @@
             }
             ToGiver::Refused { .. } => {}
             ToGiver::Owns { epoch } => {
-                self.owed.confirmed(from, epoch);
+                self.owed.confirm(from, epoch);
                 match self.stage {
                     Stage::Switched { to, epoch: e } | Stage::GaveUp { to, epoch: e }
                         if to == from && e == epoch =>
@@ -115,7 +115,7 @@
                             out.push(Output::HandedOn(to));
                         }
                         self.stage = Stage::Closed { at: to };
-                        self.owed.forget(to);
+                        self.owed.remove(to);
                         self.late.clear();
                         self.row = Row::default();
                     }
@@ -126,7 +126,7 @@
                 }
             }
             ToGiver::LetGo { epoch } => {
-                self.owed.confirmed(from, epoch);
+                self.owed.confirm(from, epoch);
                 match self.stage {
                     Stage::Switched { to, epoch: e } if to == from && e == epoch => self.resume(to, out),
                     Stage::GaveUp { to, epoch: e } if to == from && e == epoch => self.over(),
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,7 +1,7 @@
 //! A live session handed on to another front, no word lost: protocol state without I/O.
 //!
 //! The giver holds the session; the taker is a front of the neighbouring hall. Messages may be lost, doubled and late. As in
-//! `cloverhollow-moves`, from which [`Epoch`] and [`Owed`] are: each step carries an epoch that only rises; words are numbered and
+//! `cloverhollow-moves`, from which [`Epoch`] and [`PendingReleases`] are: each step carries an epoch that only rises; words are numbered and
 //! owed until they are confirmed. Who may be wrong about whom is in `docs/changes.md`.
 //!
 //! # Who may act
@@ -85,7 +85,7 @@
 mod words;
 
 pub use choose::{choose, Need, Neighbour, MOST_TRIED};
-pub use cloverhollow_moves::{Epoch, Owed};
+pub use cloverhollow_moves::{Epoch, PendingReleases};
 pub use ear::{Ear, Say, Took};
 pub use events::{Input, Output, Stage};
 pub use giver::{BrokenGiver, Giver, MOST_LATE, MOST_OWED};
--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -8,12 +8,14 @@
 //! - [`Warmer`]: whom a front that starts asks, when, and when it counts as warm.
 //! - [`Feeds`]: how many warm starts a front feeds at a time.
 
-mod book;
-pub mod facts;
-mod feeds;
-mod warm;
+pub mod observations;
+mod store;
+mod transfers;
+mod warm_start;
 pub mod wire;
 
-pub use book::{Book, BookView, Learned, MergeError, Merged, MOST_HOPS, MOST_PEERS, MOST_SERVERS};
-pub use feeds::{Feeds, Kept, Refused};
-pub use warm::{Ask, Level, WarmSettings, Warmer, Why};
+pub use store::{
+    KnowledgeStore, KnowledgeView, MergeError, MergeOutcome, ServerUpdate, MAX_HOPS, MAX_PEERS, MAX_SERVERS,
+};
+pub use transfers::{KnowledgeTransfers, RetainedMessage, TransferRefused};
+pub use warm_start::{KnowledgeLevel, LevelReason, PeerRequest, WarmStart, WarmStartConfig};
--- a/crates/knowledge/src/facts.rs
+++ b/crates/knowledge/src/observations.rs
@@ -36,19 +36,19 @@
 
 /// When and by whom a piece was observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Seen {
+pub struct Provenance {
     /// On the clock of the front that holds the piece; never later than it truly was.
-    pub at: Duration,
+    pub observed_at: Duration,
     /// Which observation.
     pub origin: Origin,
     /// Over how many fronts it came; 0: the holder's own.
     pub hops: u8,
 }
 
-impl Seen {
+impl Provenance {
     /// Its age.
     pub fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.at)
+        now.saturating_sub(self.observed_at)
     }
 
     /// How far it can be trusted: 1 when new, 0 at the horizon.
@@ -59,32 +59,35 @@
 
 /// A server's state in the list, the more careful the greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ServerStatus {
     /// Takes new work.
     Serving,
     /// Finishes what it has.
     Draining,
     /// Is gone.
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// A server's state at a version of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct State {
+pub struct ListedState {
     /// The list's version.
     pub version: u64,
     /// The state.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: ServerStatus,
 }
 
 /// A start of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Start {
+pub struct ProcessStart {
     /// Rises with each start.
     pub incarnation: u64,
     /// How long ago it was when it was observed, ms; `None`: long ago. The start itself lies that much before
     /// [`Seen::at`].
-    pub before_ms: Option<u32>,
+    #[serde(rename = "before_ms")]
+    pub uptime_ms: Option<u32>,
 }
 
 /// How a server's process behaves.
@@ -93,9 +96,11 @@
     /// Of which process: an older one's health says nothing of the next.
     pub incarnation: u64,
     /// Failures in a row; 0: it works.
-    pub failures: u32,
+    #[serde(rename = "failures")]
+    pub consecutive_failures: u32,
     /// It failed in a way that may mean a restart.
-    pub lost: bool,
+    #[serde(rename = "lost")]
+    pub may_have_restarted: bool,
 }
 
 /// A reading in thousandths: what is asked over what is given, or the share delivered.
@@ -104,18 +109,18 @@
 
 impl Reading {
     /// From a share; out of range counts as the nearest.
-    pub fn of(share: f64) -> Reading {
-        Reading((share.clamp(0.0, 1000.0) * 1e3).round() as u32)
+    pub fn from_ratio(ratio: f64) -> Reading {
+        Reading((ratio.clamp(0.0, 1000.0) * 1e3).round() as u32)
     }
 
     /// As a share.
-    pub fn share(self) -> f64 {
+    pub fn ratio(self) -> f64 {
         f64::from(self.0) / 1e3
     }
 }
 
 /// A value that joins.
-pub trait Fact: Copy + Ord {
+pub trait Observation: Copy + Ord {
     /// What goes before the time of observation in the order, the greater the righter.
     type Rank: Ord;
 
@@ -123,24 +128,24 @@
     fn rank(&self, at: Duration) -> Self::Rank;
 }
 
-impl Fact for State {
-    type Rank = State;
+impl Observation for ListedState {
+    type Rank = ListedState;
 
-    fn rank(&self, _: Duration) -> State {
+    fn rank(&self, _: Duration) -> ListedState {
         *self
     }
 }
 
-impl Fact for Start {
+impl Observation for ProcessStart {
     /// Incarnation, then the start's time; long ago is before any.
     type Rank = (u64, Option<Duration>);
 
     fn rank(&self, at: Duration) -> Self::Rank {
-        (self.incarnation, self.before_ms.map(|ms| at.saturating_sub(Duration::from_millis(ms.into()))))
+        (self.incarnation, self.uptime_ms.map(|ms| at.saturating_sub(Duration::from_millis(ms.into()))))
     }
 }
 
-impl Fact for Health {
+impl Observation for Health {
     type Rank = u64;
 
     fn rank(&self, _: Duration) -> u64 {
@@ -148,7 +153,7 @@
     }
 }
 
-impl Fact for Reading {
+impl Observation for Reading {
     type Rank = ();
 
     fn rank(&self, _: Duration) {}
@@ -156,21 +161,21 @@
 
 /// A fact with its observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Piece<T> {
+pub struct Versioned<T> {
     /// The fact.
-    pub fact: T,
+    pub value: T,
     /// Its observation.
-    pub seen: Seen,
+    pub provenance: Provenance,
 }
 
-impl<T: Fact> Piece<T> {
+impl<T: Observation> Versioned<T> {
     fn key(&self) -> (T::Rank, Duration, T, Origin, std::cmp::Reverse<u8>) {
         (
-            self.fact.rank(self.seen.at),
-            self.seen.at,
-            self.fact,
-            self.seen.origin,
-            std::cmp::Reverse(self.seen.hops),
+            self.value.rank(self.provenance.observed_at),
+            self.provenance.observed_at,
+            self.value,
+            self.provenance.origin,
+            std::cmp::Reverse(self.provenance.hops),
         )
     }
 
@@ -185,7 +190,7 @@
 }
 
 /// Joins into a slot; whether it changed.
-pub(crate) fn join<T: Fact>(slot: &mut Option<Piece<T>>, other: Option<Piece<T>>) -> bool {
+pub(crate) fn join<T: Observation>(slot: &mut Option<Versioned<T>>, other: Option<Versioned<T>>) -> bool {
     let Some(other) = other else { return false };
     let joined = slot.map_or(other, |own| own.join(other));
     let changed = *slot != Some(joined);
@@ -195,55 +200,59 @@
 
 /// All that is known of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct ServerObservations {
     /// Its state in the list.
-    pub state: Option<Piece<State>>,
+    pub state: Option<Versioned<ListedState>>,
     /// Its last start.
-    pub start: Option<Piece<Start>>,
+    pub start: Option<Versioned<ProcessStart>>,
     /// Its health.
-    pub health: Option<Piece<Health>>,
+    pub health: Option<Versioned<Health>>,
     /// What is asked of its link.
-    pub link: Option<Piece<Reading>>,
+    pub link_load: Option<Versioned<Reading>>,
     /// What is asked of its rack's uplink.
-    pub rack: Option<Piece<Reading>>,
+    pub uplink_load: Option<Versioned<Reading>>,
     /// The share that it delivers.
-    pub short: Option<Piece<Reading>>,
+    pub delivered_share: Option<Versioned<Reading>>,
 }
 
-impl Facts {
+impl ServerObservations {
     /// Joins all pieces; whether any changed.
-    pub fn join(&mut self, other: &Facts) -> bool {
+    pub fn join(&mut self, other: &ServerObservations) -> bool {
         let changed = [
             join(&mut self.state, other.state),
             join(&mut self.start, other.start),
             join(&mut self.health, other.health),
-            join(&mut self.link, other.link),
-            join(&mut self.rack, other.rack),
-            join(&mut self.short, other.short),
+            join(&mut self.link_load, other.link_load),
+            join(&mut self.uplink_load, other.uplink_load),
+            join(&mut self.delivered_share, other.delivered_share),
         ];
         changed.contains(&true)
     }
 
     /// What is left once pieces past the horizon are dropped. States and starts go by versions and stay.
-    pub fn within(&self, now: Duration, horizon: Duration) -> Facts {
-        fn keep<T>(piece: Option<Piece<T>>, now: Duration, horizon: Duration) -> Option<Piece<T>> {
-            piece.filter(|p| p.seen.age(now) < horizon)
+    pub fn within(&self, now: Duration, horizon: Duration) -> ServerObservations {
+        fn keep<T>(piece: Option<Versioned<T>>, now: Duration, horizon: Duration) -> Option<Versioned<T>> {
+            piece.filter(|p| p.provenance.age(now) < horizon)
         }
         // A health of a process that is not the last one says nothing.
-        let current = self.start.map(|s| s.fact.incarnation);
-        let health = self.health.filter(|h| current.is_none_or(|i| i == h.fact.incarnation));
+        let current = self.start.map(|s| s.value.incarnation);
+        let health = self.health.filter(|h| current.is_none_or(|i| i == h.value.incarnation));
         // Load of a process that has gone is not the next one's.
         let started = |at: Duration| {
-            self.start.is_none_or(|s| s.fact.before_ms.is_none() || s.fact.rank(s.seen.at).1 <= Some(at))
+            self.start.is_none_or(|s| {
+                s.value.uptime_ms.is_none() || s.value.rank(s.provenance.observed_at).1 <= Some(at)
+            })
         };
-        let load = |p: Option<Piece<Reading>>| keep(p, now, horizon).filter(|p| started(p.seen.at));
-        Facts {
+        let load = |p: Option<Versioned<Reading>>| {
+            keep(p, now, horizon).filter(|p| started(p.provenance.observed_at))
+        };
+        ServerObservations {
             state: self.state,
             start: self.start,
             health: keep(health, now, horizon),
-            link: load(self.link),
-            rack: keep(self.rack, now, horizon),
-            short: load(self.short),
+            link_load: load(self.link_load),
+            uplink_load: keep(self.uplink_load, now, horizon),
+            delivered_share: load(self.delivered_share),
         }
     }
 }
--- a/crates/knowledge/src/feeds.rs
+++ b/crates/knowledge/src/transfers.rs
@@ -12,9 +12,9 @@
 
 /// A message kept under its tag.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct RetainedMessage {
     /// The tag (HTTP's entity tag).
-    pub tag: u64,
+    pub etag: u64,
     /// The bytes.
     pub bytes: Arc<Vec<u8>>,
     until: Duration,
@@ -22,34 +22,34 @@
 
 /// Too many are fed: come back after this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct TransferRefused {
     /// The hold-off.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// Counts feeds and keeps messages. Times are arguments.
 #[derive(Debug)]
-pub struct Feeds {
+pub struct KnowledgeTransfers {
     most: usize,
     hold_off: Duration,
     running: usize,
     next: u64,
-    kept: VecDeque<Kept>,
+    kept: VecDeque<RetainedMessage>,
 }
 
-impl Feeds {
+impl KnowledgeTransfers {
     /// Feeds `most` at a time; others are told to come back after `hold_off`.
     pub fn new(most: usize, hold_off: Duration) -> Self {
-        Feeds { most, hold_off, running: 0, next: 1, kept: VecDeque::new() }
+        KnowledgeTransfers { most, hold_off, running: 0, next: 1, kept: VecDeque::new() }
     }
 
     /// A feed begins. Each one that does must end by [`Feeds::end`].
     ///
     /// # Errors
     /// As many run as may.
-    pub fn begin(&mut self) -> Result<(), Refused> {
+    pub fn begin(&mut self) -> Result<(), TransferRefused> {
         if self.running >= self.most {
-            return Err(Refused { after: self.hold_off });
+            return Err(TransferRefused { retry_after: self.hold_off });
         }
         self.running += 1;
         Ok(())
@@ -61,8 +61,8 @@
     }
 
     /// Keeps a message for a while; its tag.
-    pub fn keep(&mut self, now: Duration, bytes: Vec<u8>) -> Kept {
-        let kept = Kept { tag: self.next, bytes: Arc::new(bytes), until: now + KEPT_FOR };
+    pub fn retain_message(&mut self, now: Duration, bytes: Vec<u8>) -> RetainedMessage {
+        let kept = RetainedMessage { etag: self.next, bytes: Arc::new(bytes), until: now + KEPT_FOR };
         self.next += 1;
         self.kept.push_back(kept.clone());
         while self.kept.front().is_some_and(|k| k.until <= now)
@@ -75,7 +75,7 @@
     }
 
     /// A message that is still kept.
-    pub fn kept(&self, now: Duration, tag: u64) -> Option<Kept> {
-        self.kept.iter().find(|k| k.tag == tag && k.until > now).cloned()
+    pub fn retained_message(&self, now: Duration, etag: u64) -> Option<RetainedMessage> {
+        self.kept.iter().find(|k| k.etag == etag && k.until > now).cloned()
     }
 }
--- a/crates/knowledge/src/warm.rs
+++ b/crates/knowledge/src/warm_start.rs
@@ -7,7 +7,7 @@
 
 /// How warm a front is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Level {
+pub enum KnowledgeLevel {
     /// It knows its last list at most.
     #[default]
     Cold,
@@ -17,74 +17,74 @@
     Warm,
 }
 
-impl Level {
+impl KnowledgeLevel {
     /// A word for the health answer.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Level::Cold => "cold",
-            Level::Warming => "warming",
-            Level::Warm => "warm",
+            KnowledgeLevel::Cold => "cold",
+            KnowledgeLevel::Warming => "warming",
+            KnowledgeLevel::Warm => "warm",
         }
     }
 }
 
 /// Why it is so warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum LevelReason {
     /// It has not begun to ask.
-    NotBegun,
+    NotStarted,
     /// It has no peers to ask.
     NoPeers,
     /// It asks.
-    Asking,
+    RequestsPending,
     /// Enough warm peers answered.
-    Enough,
+    EnoughWarmPeers,
     /// Time was up; fewer than enough warm peers answered.
-    SomeInTime,
+    FewWarmPeers,
     /// Peers answered, all as cold as this one.
-    PeersCold,
+    AllPeersCold,
     /// No peer answered in time.
-    NoneInTime,
+    NoAnswerInTime,
     /// It has listened for a whole horizon itself.
-    OwnEars,
+    HorizonElapsed,
 }
 
-impl Why {
+impl LevelReason {
     /// In words.
-    pub fn words(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Why::NotBegun => "not begun",
-            Why::NoPeers => "no peers to ask",
-            Why::Asking => "asking peers",
-            Why::Enough => "enough warm peers answered",
-            Why::SomeInTime => "fewer warm peers than wanted answered in time",
-            Why::PeersCold => "the peers that answered are cold too",
-            Why::NoneInTime => "no peer answered in time",
-            Why::OwnEars => "has listened for long enough itself",
+            LevelReason::NotStarted => "not begun",
+            LevelReason::NoPeers => "no peers to ask",
+            LevelReason::RequestsPending => "asking peers",
+            LevelReason::EnoughWarmPeers => "enough warm peers answered",
+            LevelReason::FewWarmPeers => "fewer warm peers than wanted answered in time",
+            LevelReason::AllPeersCold => "the peers that answered are cold too",
+            LevelReason::NoAnswerInTime => "no peer answered in time",
+            LevelReason::HorizonElapsed => "has listened for long enough itself",
         }
     }
 }
 
 /// How a front asks.
 #[derive(Clone, Copy, Debug)]
-pub struct WarmSettings {
+pub struct WarmStartConfig {
     /// Peers asked at once.
-    pub parallel: usize,
+    pub max_parallel: usize,
     /// Warm answers that are enough.
-    pub enough: usize,
+    pub required_warm_answers: usize,
     /// Another peer is asked when none has answered for so long.
-    pub hedge: Duration,
+    pub hedge_delay: Duration,
     /// Time for all of it.
     pub deadline: Duration,
     /// The first question waits for up to this, so that half a fleet does not ask in one instant.
-    pub jitter: Duration,
+    pub max_jitter: Duration,
     /// Knowledge of its own after which a front counts as warm anyway.
     pub horizon: Duration,
 }
 
 /// A question to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PeerRequest {
     /// Whom.
     pub peer: SocketAddr,
     /// With which number: the answer must have it.
@@ -112,8 +112,8 @@
 
 /// The state of one warm start.
 #[derive(Debug)]
-pub struct Warmer {
-    set: WarmSettings,
+pub struct WarmStart {
+    set: WarmStartConfig,
     rng: fastrand::Rng,
     me: Option<SocketAddr>,
     peers: BTreeMap<SocketAddr, Peer>,
@@ -123,22 +123,22 @@
     asked: usize,
     warm: usize,
     cold: usize,
-    level: Level,
-    why: Why,
+    level: KnowledgeLevel,
+    why: LevelReason,
 }
 
-impl Warmer {
+impl WarmStart {
     /// Begins at `now`. `me`: the own address, which is never asked.
     pub fn new(
         now: Duration,
-        set: WarmSettings,
+        set: WarmStartConfig,
         seed: u64,
         me: Option<SocketAddr>,
         peers: &[SocketAddr],
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let first = now + set.jitter.mul_f64(rng.f64());
-        let mut w = Warmer {
+        let first = now + set.max_jitter.mul_f64(rng.f64());
+        let mut w = WarmStart {
             set,
             rng,
             me,
@@ -149,25 +149,25 @@
             asked: 0,
             warm: 0,
             cold: 0,
-            level: Level::Cold,
-            why: Why::NotBegun,
+            level: KnowledgeLevel::Cold,
+            why: LevelReason::NotStarted,
         };
-        w.learn(peers);
+        w.add_peers(peers);
         if w.peers.is_empty() {
-            w.why = Why::NoPeers;
+            w.why = LevelReason::NoPeers;
         } else {
-            (w.level, w.why) = (Level::Warming, Why::Asking);
+            (w.level, w.why) = (KnowledgeLevel::Warming, LevelReason::RequestsPending);
         }
         w
     }
 
     /// How warm the front is, and why.
-    pub fn level(&self) -> (Level, Why) {
+    pub fn level(&self) -> (KnowledgeLevel, LevelReason) {
         (self.level, self.why)
     }
 
     /// Peers whose addresses were heard of.
-    pub fn learn(&mut self, peers: &[SocketAddr]) {
+    pub fn add_peers(&mut self, peers: &[SocketAddr]) {
         for peer in peers.iter().filter(|p| Some(**p) != self.me) {
             if self.peers.len() < MOST {
                 self.peers.entry(*peer).or_insert(Peer::Free(Duration::ZERO));
@@ -181,19 +181,22 @@
     }
 
     /// When [`Warmer::due`] must be called next; `None`: never again.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub fn next_poll(&self) -> Option<Duration> {
         match self.level {
-            Level::Warm => None,
-            Level::Cold => Some(self.begun + self.set.horizon),
-            Level::Warming => {
+            KnowledgeLevel::Warm => None,
+            KnowledgeLevel::Cold => Some(self.begun + self.set.horizon),
+            KnowledgeLevel::Warming => {
                 let end = self.begun + self.set.deadline;
                 let asked = self.peers.values().filter(|p| **p == Peer::Asked).count();
                 let free = self.peers.values().filter_map(|p| match p {
                     Peer::Free(from) if self.left() > 0 => Some(*from),
                     _ => None,
                 });
-                let hedged =
-                    if asked >= self.wanted() { self.last_asked + self.set.hedge } else { Duration::ZERO };
+                let hedged = if asked >= self.wanted() {
+                    self.last_asked + self.set.hedge_delay
+                } else {
+                    Duration::ZERO
+                };
                 let next = free.map(|from| from.max(hedged).max(self.first)).min();
                 Some(next.map_or(end, |n| n.min(end)))
             }
@@ -202,20 +205,20 @@
 
     /// Questions that it may still ask: where all peers are cold too, each asking all would be a storm.
     fn left(&self) -> usize {
-        (ASKS_EACH * self.set.enough.max(1)).saturating_sub(self.asked)
+        (ASKS_EACH * self.set.required_warm_answers.max(1)).saturating_sub(self.asked)
     }
 
     fn wanted(&self) -> usize {
-        self.set.parallel.max(1)
+        self.set.max_parallel.max(1)
     }
 
     /// Whom to ask now.
-    pub fn due(&mut self, now: Duration) -> Vec<Ask> {
+    pub fn poll(&mut self, now: Duration) -> Vec<PeerRequest> {
         let mut out = Vec::new();
-        if self.level != Level::Warm && now >= self.begun + self.set.horizon {
-            (self.level, self.why) = (Level::Warm, Why::OwnEars);
+        if self.level != KnowledgeLevel::Warm && now >= self.begun + self.set.horizon {
+            (self.level, self.why) = (KnowledgeLevel::Warm, LevelReason::HorizonElapsed);
         }
-        if self.level != Level::Warming || now < self.first {
+        if self.level != KnowledgeLevel::Warming || now < self.first {
             return out;
         }
         if now >= self.begun + self.set.deadline {
@@ -223,7 +226,7 @@
             return out;
         }
         let asked = self.peers.values().filter(|p| **p == Peer::Asked).count();
-        let hedge = asked > 0 && now >= self.last_asked + self.set.hedge;
+        let hedge = asked > 0 && now >= self.last_asked + self.set.hedge_delay;
         let places = self.wanted().saturating_sub(asked).max(usize::from(hedge));
         let places = places.min(self.left());
         let mut free: Vec<SocketAddr> = self
@@ -237,16 +240,16 @@
             self.peers.insert(peer, Peer::Asked);
             self.last_asked = now;
             self.asked += 1;
-            out.push(Ask { peer, nonce: self.rng.u64(1..) });
+            out.push(PeerRequest { peer, nonce: self.rng.u64(1..) });
         }
         self.settle();
         out
     }
 
     /// A peer answered, and its answer was merged. Whether more is wanted.
-    pub fn answered(&mut self, peer: SocketAddr, level: Level) {
+    pub fn on_answer(&mut self, peer: SocketAddr, level: KnowledgeLevel) {
         self.peers.insert(peer, Peer::Done);
-        if level == Level::Warm {
+        if level == KnowledgeLevel::Warm {
             self.warm += 1;
         } else {
             self.cold += 1;
@@ -255,35 +258,37 @@
     }
 
     /// A peer did not answer, or what it said cannot be trusted.
-    pub fn failed(&mut self, peer: SocketAddr) {
+    pub fn on_failure(&mut self, peer: SocketAddr) {
         self.peers.insert(peer, Peer::Done);
         self.settle();
     }
 
     /// A peer feeds as many as it can: it may be asked again after that.
-    pub fn busy(&mut self, now: Duration, peer: SocketAddr, after: Duration) {
+    pub fn on_busy(&mut self, now: Duration, peer: SocketAddr, after: Duration) {
         let wait = after.mul_f64(1.0 + SPREAD * self.rng.f64());
         self.peers.insert(peer, Peer::Free(now + wait));
     }
 
     /// Ends it where enough has answered, or nobody is left to ask.
     fn settle(&mut self) {
-        if self.level != Level::Warming {
+        if self.level != KnowledgeLevel::Warming {
             return;
         }
         let nobody_out = !self.peers.values().any(|p| *p == Peer::Asked);
         let nobody_left = self.left() == 0 || self.peers.values().all(|p| *p == Peer::Done);
-        if self.warm >= self.set.enough.max(1) || (nobody_out && nobody_left) {
+        if self.warm >= self.set.required_warm_answers.max(1) || (nobody_out && nobody_left) {
             self.end();
         }
     }
 
     fn end(&mut self) {
         (self.level, self.why) = match (self.warm, self.cold) {
-            (w, _) if w >= self.set.enough.max(1) => (Level::Warm, Why::Enough),
-            (0, 0) => (Level::Cold, Why::NoneInTime),
-            (0, _) => (Level::Cold, Why::PeersCold),
-            _ => (Level::Warm, Why::SomeInTime),
+            (w, _) if w >= self.set.required_warm_answers.max(1) => {
+                (KnowledgeLevel::Warm, LevelReason::EnoughWarmPeers)
+            }
+            (0, 0) => (KnowledgeLevel::Cold, LevelReason::NoAnswerInTime),
+            (0, _) => (KnowledgeLevel::Cold, LevelReason::AllPeersCold),
+            _ => (KnowledgeLevel::Warm, LevelReason::FewWarmPeers),
         };
     }
 }
--- a/crates/knowledge/tests/lattice.rs
+++ b/crates/knowledge/tests/lattice.rs
@@ -1,8 +1,8 @@
 //! The lattice: joining is associative, commutative and idempotent, over random pieces of a fixed seed; and
 //! books that exchange messages in any order come to know the same.
 
-use cloverhollow_knowledge::facts::*;
-use cloverhollow_knowledge::{Book, Level};
+use cloverhollow_knowledge::observations::*;
+use cloverhollow_knowledge::{KnowledgeLevel, KnowledgeStore};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::time::Duration;
@@ -12,51 +12,55 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]))
 }
 
-fn seen() -> impl Strategy<Value = Seen> {
+fn provenance() -> impl Strategy<Value = Provenance> {
     // Few values, so that ties are common.
-    (0u64..4, 0u64..3, 0u64..4, 0u8..3).prop_map(|(at, instance, seq, hops)| Seen {
-        at: Duration::from_secs(100 + at),
+    (0u64..4, 0u64..3, 0u64..4, 0u8..3).prop_map(|(at, instance, seq, hops)| Provenance {
+        observed_at: Duration::from_secs(100 + at),
         origin: Origin { observer: Observer { instance, incarnation: 1 }, seq },
         hops,
     })
 }
 
-fn standing() -> impl Strategy<Value = Standing> {
-    prop_oneof![Just(Standing::Serving), Just(Standing::Draining), Just(Standing::Gone)]
+fn status() -> impl Strategy<Value = ServerStatus> {
+    prop_oneof![Just(ServerStatus::Serving), Just(ServerStatus::Draining), Just(ServerStatus::Removed)]
 }
 
-fn piece<T: std::fmt::Debug>(fact: impl Strategy<Value = T>) -> impl Strategy<Value = Option<Piece<T>>> {
-    proptest::option::of((fact, seen()).prop_map(|(fact, seen)| Piece { fact, seen }))
+fn piece<T: std::fmt::Debug>(value: impl Strategy<Value = T>) -> impl Strategy<Value = Option<Versioned<T>>> {
+    proptest::option::of(
+        (value, provenance()).prop_map(|(value, provenance)| Versioned { value, provenance }),
+    )
 }
 
-fn facts() -> impl Strategy<Value = Facts> {
+fn observations() -> impl Strategy<Value = ServerObservations> {
     let reading = || piece((0u32..4).prop_map(Reading));
     (
-        piece((0u64..3, standing()).prop_map(|(version, standing)| State { version, standing })),
+        piece((0u64..3, status()).prop_map(|(version, status)| ListedState { version, status })),
         piece(
             (0u64..3, proptest::option::of(0u32..3000))
-                .prop_map(|(incarnation, before_ms)| Start { incarnation, before_ms }),
+                .prop_map(|(incarnation, uptime_ms)| ProcessStart { incarnation, uptime_ms }),
         ),
-        piece((0u64..3, 0u32..3, any::<bool>()).prop_map(|(incarnation, failures, lost)| Health {
-            incarnation,
-            failures,
-            lost,
-        })),
+        piece((0u64..3, 0u32..3, any::<bool>()).prop_map(
+            |(incarnation, consecutive_failures, may_have_restarted)| Health {
+                incarnation,
+                consecutive_failures,
+                may_have_restarted,
+            },
+        )),
         reading(),
         reading(),
         reading(),
     )
-        .prop_map(|(state, start, health, link, rack, short)| Facts {
+        .prop_map(|(state, start, health, link_load, uplink_load, delivered_share)| ServerObservations {
             state,
             start,
             health,
-            link,
-            rack,
-            short,
+            link_load,
+            uplink_load,
+            delivered_share,
         })
 }
 
-fn joined(a: Facts, b: Facts) -> Facts {
+fn joined(a: ServerObservations, b: ServerObservations) -> ServerObservations {
     let mut out = a;
     out.join(&b);
     out
@@ -65,7 +69,7 @@
 #[test]
 fn joining_is_associative_commutative_and_idempotent() {
     runner(20_000)
-        .run(&(facts(), facts(), facts()), |(a, b, c)| {
+        .run(&(observations(), observations(), observations()), |(a, b, c)| {
             prop_assert_eq!(joined(joined(a, b), c), joined(a, joined(b, c)));
             prop_assert_eq!(joined(a, b), joined(b, a));
             prop_assert_eq!(joined(a, a), a);
@@ -79,17 +83,17 @@
 #[test]
 fn a_newer_version_or_incarnation_goes_before_any_age() {
     runner(5_000)
-        .run(&(facts(), facts()), |(a, b)| {
+        .run(&(observations(), observations()), |(a, b)| {
             let j = joined(a, b);
             for f in [a, b] {
                 if let (Some(one), Some(all)) = (f.state, j.state) {
-                    prop_assert!(all.fact >= one.fact, "a drain is never taken back by an older word");
+                    prop_assert!(all.value >= one.value, "a drain is never taken back by an older word");
                 }
                 if let (Some(one), Some(all)) = (f.start, j.start) {
-                    prop_assert!(all.fact.incarnation >= one.fact.incarnation);
+                    prop_assert!(all.value.incarnation >= one.value.incarnation);
                 }
-                if let (Some(one), Some(all)) = (f.link, j.link) {
-                    prop_assert!(all.seen.at >= one.seen.at);
+                if let (Some(one), Some(all)) = (f.link_load, j.link_load) {
+                    prop_assert!(all.provenance.observed_at >= one.provenance.observed_at);
                 }
             }
             Ok(())
@@ -105,19 +109,26 @@
     runner(300)
         .run(&(loads, order), |(loads, order)| {
             // Three speakers, one observation each twice; a listener hears six messages in some order.
-            let mut speakers: Vec<Book> = (1..=3).map(book).collect();
+            let mut speakers: Vec<KnowledgeStore> = (1..=3).map(book).collect();
             let mut messages = Vec::new();
             for (i, (server, _, load)) in loads.iter().enumerate() {
                 let at = Duration::from_secs(180 + i as u64);
-                speakers[i % 3].read(at, *server, Some(*load as f64 / 100.0), None, None);
-                messages.push(speakers[i % 3].view().message(now, 5, None, Level::Warm, Vec::new()));
+                speakers[i % 3].record_load(at, *server, Some(*load as f64 / 100.0), None, None);
+                messages.push(speakers[i % 3].view().message(now, 5, None, KnowledgeLevel::Warm, Vec::new()));
             }
             let hear = |order: &[usize]| {
                 let mut listener = book(9);
                 for i in order {
                     let _ = listener.merge(now, now, 5, &messages[*i]);
                 }
-                (0..4).map(|s| listener.heard(now, s).link.map(|p| (p.fact, p.seen.at))).collect::<Vec<_>>()
+                (0..4)
+                    .map(|s| {
+                        listener
+                            .peer_observations(now, s)
+                            .link_load
+                            .map(|p| (p.value, p.provenance.observed_at))
+                    })
+                    .collect::<Vec<_>>()
             };
             prop_assert_eq!(hear(&order), hear(&[0, 1, 2, 3, 4, 5]));
             Ok(())
@@ -125,6 +136,6 @@
         .unwrap();
 }
 
-fn book(instance: u64) -> Book {
-    Book::new(Observer { instance, incarnation: 1 }, 42, Duration::from_secs(30))
+fn book(instance: u64) -> KnowledgeStore {
+    KnowledgeStore::new(Observer { instance, incarnation: 1 }, 42, Duration::from_secs(30))
 }
--- a/crates/moves/src/lib.rs
+++ b/crates/moves/src/lib.rs
@@ -15,10 +15,10 @@
 
 mod holder;
 mod mover;
-mod owed;
+mod pending_releases;
 mod types;
 
 pub use holder::Holder;
 pub use mover::{Input, Mover, Output, Stage};
-pub use owed::Owed;
+pub use pending_releases::PendingReleases;
 pub use types::{Answer, Ask, Epoch, Incarnation, Place, Server, Word};
--- a/crates/moves/src/mover.rs
+++ b/crates/moves/src/mover.rs
@@ -1,6 +1,6 @@
 //! The front's side of one session.
 
-use crate::owed::Owed;
+use crate::pending_releases::PendingReleases;
 use crate::types::{Answer, Ask, Epoch, Place, Server, Word};
 
 /// Where a session stands.
@@ -109,13 +109,13 @@
     paid: bool,
     /// Releases that were not confirmed: by process, the highest step. Bounded by the processes that were asked
     /// and have not answered; one that is gone is owed nothing.
-    owed: Owed<Place>,
+    owed: PendingReleases<Place>,
 }
 
 impl Mover {
     /// A session that was set up at a server as its step `epoch`.
     pub fn new(at: Place, epoch: Epoch, paid: bool) -> Mover {
-        Mover { stage: Stage::Settled { at }, epoch, paid, owed: Owed::default() }
+        Mover { stage: Stage::Settled { at }, epoch, paid, owed: PendingReleases::default() }
     }
 
     /// Where it stands.
@@ -190,7 +190,7 @@
     fn answered(&mut self, from: Place, answer: Answer, out: &mut Vec<Output>) {
         match (answer, self.stage) {
             (Answer::Released { epoch }, stage) => {
-                self.owed.confirmed(from, epoch);
+                self.owed.confirm(from, epoch);
                 // A late copy of our own release reached it before the question: as good as a refusal.
                 if matches!(stage, Stage::Preparing { to, epoch: e, .. } if to == from && e <= epoch) {
                     self.not_taken(from, out);
@@ -285,13 +285,13 @@
     /// A word that a process is gone speaks of that process alone. Guards against a late one, read after the server
     /// was back and had prepared for a newer move: the new holding would be taken for lost with the old.
     fn died(&mut self, place: Place, out: &mut Vec<Output>) {
-        self.owed.forget(place);
+        self.owed.remove(place);
         match self.stage {
             Stage::Settled { at } if at == place => self.lost(out),
             Stage::Preparing { from, to, epoch } => {
                 if to == place {
                     self.not_taken(to, out);
-                    self.owed.forget(place);
+                    self.owed.remove(place);
                 } else if from == Some(place) {
                     self.stage = Stage::Preparing { from: None, to, epoch };
                 }
@@ -307,7 +307,7 @@
             Stage::Switching { from, to, epoch } => {
                 if to == place {
                     self.not_playing(out);
-                    self.owed.forget(place);
+                    self.owed.remove(place);
                 } else if from == Some(place) {
                     self.stage = Stage::Switching { from: None, to, epoch };
                 }
--- a/crates/moves/src/owed.rs
+++ b/crates/moves/src/pending_releases.rs
@@ -5,15 +5,15 @@
 
 /// By party, the highest step that it is to let go of. Bounded by the parties that were asked and have not answered.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Owed<P: Ord>(BTreeMap<P, Epoch>);
+pub struct PendingReleases<P: Ord>(BTreeMap<P, Epoch>);
 
-impl<P: Ord> Default for Owed<P> {
-    fn default() -> Owed<P> {
-        Owed(BTreeMap::new())
+impl<P: Ord> Default for PendingReleases<P> {
+    fn default() -> PendingReleases<P> {
+        PendingReleases(BTreeMap::new())
     }
 }
 
-impl<P: Ord + Copy> Owed<P> {
+impl<P: Ord + Copy> PendingReleases<P> {
     /// From here on the party owes the word that it holds nothing up to this step.
     pub fn add(&mut self, to: P, epoch: Epoch) {
         let owed = self.0.entry(to).or_insert(epoch);
@@ -21,14 +21,14 @@
     }
 
     /// It said so. An earlier step than the one owed confirms nothing.
-    pub fn confirmed(&mut self, from: P, epoch: Epoch) {
+    pub fn confirm(&mut self, from: P, epoch: Epoch) {
         if self.0.get(&from).is_some_and(|owed| *owed <= epoch) {
             self.0.remove(&from);
         }
     }
 
     /// It is gone: it holds nothing.
-    pub fn forget(&mut self, party: P) {
+    pub fn remove(&mut self, party: P) {
         self.0.remove(&party);
     }
 
--- a/crates/session/src/knowledge.rs
+++ b/crates/session/src/knowledge.rs
@@ -7,9 +7,11 @@
 use crate::types::{Load, PeerStatus};
 use arc_swap::ArcSwap;
 use cloverhollow::{ListMode, LoadReport, PeerReport, ServerState};
-use cloverhollow_knowledge::facts::{Facts, Observer, Piece, Standing, Start, State};
+use cloverhollow_knowledge::observations::{
+    ListedState, Observer, ProcessStart, ServerObservations, ServerStatus, Versioned,
+};
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_knowledge::{Book, BookView, MergeError};
+use cloverhollow_knowledge::{KnowledgeStore, KnowledgeView, MergeError};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -17,12 +19,12 @@
 /// core's task.
 #[derive(Debug)]
 pub struct SnapshotCell {
-    view: ArcSwap<BookView>,
+    view: ArcSwap<KnowledgeView>,
 }
 
 impl SnapshotCell {
     /// Latest published snapshot.
-    pub fn latest(&self) -> Arc<BookView> {
+    pub fn latest(&self) -> Arc<KnowledgeView> {
         self.view.load_full()
     }
 }
@@ -32,7 +34,7 @@
 pub(crate) struct KnowledgeExchange {
     /// False if no peer requests knowledge, so that nothing is stored.
     enabled: bool,
-    store: Book,
+    store: KnowledgeStore,
     snapshot: Arc<SnapshotCell>,
     /// Sequence number of the published snapshot.
     published_seq: u64,
@@ -49,7 +51,7 @@
     pub(crate) fn new(config: Option<&PersistenceConfig>, incarnation: u64) -> Self {
         let (instance, fleet, horizon) =
             config.map_or((0, 0, Duration::ZERO), |c| (c.instance_id, c.fleet_id, c.horizon));
-        let store = Book::new(Observer { instance, incarnation }, fleet, horizon);
+        let store = KnowledgeStore::new(Observer { instance, incarnation }, fleet, horizon);
         let snapshot = Arc::new(SnapshotCell { view: ArcSwap::from_pointee(store.view()) });
         KnowledgeExchange {
             enabled: config.is_some(),
@@ -89,14 +91,14 @@
         may_have_restarted: bool,
     ) {
         if self.enabled {
-            self.store.behaved(now, server, worked, may_have_restarted);
+            self.store.record_outcome(now, server, worked, may_have_restarted);
         }
     }
 
     /// Stores a load that a server reported.
     pub(crate) fn record_load(&mut self, now: Duration, server: u64, load: Load) {
         if self.enabled {
-            self.store.read(now, server, load.link, load.rack, load.share);
+            self.store.record_load(now, server, load.link, load.rack, load.share);
         }
     }
 
@@ -109,19 +111,23 @@
             return Vec::new();
         }
         for e in &update.entries {
-            let standing = match e.state {
-                WireState::Serving => Standing::Serving,
-                WireState::Draining => Standing::Draining,
-                WireState::Gone => Standing::Gone,
+            let status = match e.state {
+                WireState::Serving => ServerStatus::Serving,
+                WireState::Draining => ServerStatus::Draining,
+                WireState::Gone => ServerStatus::Removed,
             };
-            self.store.listed(now, e.id, State { version: update.version, standing });
-            let before_ms = e.started_ms_ago.map(|ms| u32::try_from(ms).unwrap_or(u32::MAX));
-            self.store.started(now, e.id, Start { incarnation: e.incarnation, before_ms });
+            self.store.record_state(now, e.id, ListedState { version: update.version, status });
+            let uptime_ms = e.started_ms_ago.map(|ms| u32::try_from(ms).unwrap_or(u32::MAX));
+            self.store.record_start(now, e.id, ProcessStart { incarnation: e.incarnation, uptime_ms });
         }
-        let reports = self.store.heard_of().into_iter().filter_map(|server| {
-            let facts = self.store.heard(now, server);
-            let not_serving = facts.state.filter(|s| s.fact.standing != Standing::Serving)?;
-            Some(self.peer_reports(now, server, &Facts { state: Some(not_serving), ..Facts::default() }))
+        let reports = self.store.servers_from_peers().into_iter().filter_map(|server| {
+            let observations = self.store.peer_observations(now, server);
+            let not_serving = observations.state.filter(|s| s.value.status != ServerStatus::Serving)?;
+            Some(self.peer_reports(
+                now,
+                server,
+                &ServerObservations { state: Some(not_serving), ..ServerObservations::default() },
+            ))
         });
         reports.flatten().collect()
     }
@@ -136,11 +142,11 @@
     ) -> Result<(Vec<PeerReport>, PeerStatus), MergeError> {
         if now >= self.last_expiry + EXPIRY_INTERVAL {
             self.last_expiry = now;
-            self.store.forget_old(now);
+            self.store.remove_expired(now);
         }
         let merged = self.store.merge(now, requested_at, nonce, message)?;
         let reports =
-            merged.learned.iter().flat_map(|l| self.peer_reports(now, l.server, &l.facts)).collect();
+            merged.updates.iter().flat_map(|l| self.peer_reports(now, l.server, &l.observations)).collect();
         Ok((reports, PeerStatus { level: message.level, seq: message.seq, peers: merged.peers }))
     }
 
@@ -149,44 +155,47 @@
     /// The time since then is unknown because clocks may jump, so only versioned observations (states and starts)
     /// are used, never load or health.
     pub(crate) fn restore(&mut self, now: Duration, message: &Message) -> Vec<PeerReport> {
-        let versioned = message.without_ages();
+        let versioned = message.versioned_only();
         let merged = self.store.merge(now, now, versioned.nonce, &versioned);
-        let learned = merged.map(|m| m.learned).unwrap_or_default();
-        learned.iter().flat_map(|l| self.peer_reports(now, l.server, &l.facts)).collect()
+        let updates = merged.map(|m| m.updates).unwrap_or_default();
+        updates.iter().flat_map(|l| self.peer_reports(now, l.server, &l.observations)).collect()
     }
 
     /// Translates observations of a server to the policy's form: one report, and a second one for the load of the
     /// rack's uplink, which has an age of its own.
-    fn peer_reports(&self, now: Duration, server: u64, facts: &Facts) -> Vec<PeerReport> {
-        let state = match facts.state.map(|s| s.fact.standing) {
-            Some(Standing::Draining) => ServerState::Draining,
-            Some(Standing::Gone) => ServerState::Removed,
-            Some(Standing::Serving) | None => ServerState::Serving,
+    fn peer_reports(&self, now: Duration, server: u64, observations: &ServerObservations) -> Vec<PeerReport> {
+        let state = match observations.state.map(|s| s.value.status) {
+            Some(ServerStatus::Draining) => ServerState::Draining,
+            Some(ServerStatus::Removed) => ServerState::Removed,
+            Some(ServerStatus::Serving) | None => ServerState::Serving,
         };
-        let started_at = |p: Piece<Start>| {
-            let age = Duration::from_millis(p.fact.before_ms?.into());
-            Some(p.seen.at.saturating_sub(age))
+        let started_at = |p: Versioned<ProcessStart>| {
+            let age = Duration::from_millis(p.value.uptime_ms?.into());
+            Some(p.provenance.observed_at.saturating_sub(age))
         };
-        let health = facts.health.map(|h| h.fact);
+        let health = observations.health.map(|h| h.value);
         let age_since =
             |observed: Option<Duration>| observed.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         let link = PeerReport {
             server,
             state,
-            started_at: facts.start.and_then(started_at).unwrap_or_default(),
-            failed: health.is_some_and(|h| h.failures > 0),
-            may_have_restarted: health.is_some_and(|h| h.lost),
-            load: LoadReport { link_load: facts.link.map(|p| p.fact.share()), uplink_load: None },
-            load_age: age_since(facts.link.map(|p| p.seen.at)),
+            started_at: observations.start.and_then(started_at).unwrap_or_default(),
+            failed: health.is_some_and(|h| h.consecutive_failures > 0),
+            may_have_restarted: health.is_some_and(|h| h.may_have_restarted),
+            load: LoadReport {
+                link_load: observations.link_load.map(|p| p.value.ratio()),
+                uplink_load: None,
+            },
+            load_age: age_since(observations.link_load.map(|p| p.provenance.observed_at)),
         };
         let has_content = link.state != ServerState::Serving
             || !link.started_at.is_zero()
             || link.failed
-            || facts.link.is_some();
-        let rack = facts.rack.map(|p| PeerReport {
+            || observations.link_load.is_some();
+        let rack = observations.uplink_load.map(|p| PeerReport {
             server,
-            load: LoadReport { link_load: None, uplink_load: Some(p.fact.share()) },
-            load_age: age_since(Some(p.seen.at)),
+            load: LoadReport { link_load: None, uplink_load: Some(p.value.ratio()) },
+            load_age: age_since(Some(p.provenance.observed_at)),
             ..PeerReport::default()
         });
         has_content.then_some(link).into_iter().chain(rack).collect()
--- a/crates/session/src/types/commands.rs
+++ b/crates/session/src/types/commands.rs
@@ -3,7 +3,7 @@
 use super::{AttemptId, EndReason, RejectReason, SessionId, ViewerId};
 use crate::routes::Route;
 use cloverhollow::ServerId;
-use cloverhollow_knowledge::{Level, MergeError};
+use cloverhollow_knowledge::{KnowledgeLevel, MergeError};
 use cloverhollow_recovery::Deed;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerStatus {
     /// Degree to which the peer has gathered the fleet's knowledge since its start.
-    pub level: Level,
+    pub level: KnowledgeLevel,
     /// Sequence number of the peer's last change. The next delta is requested from here.
     pub seq: u64,
     /// Addresses of the peers known to this peer.
--- a/crates/session/tests/load/harness.rs
+++ b/crates/session/tests/load/harness.rs
@@ -4,7 +4,7 @@
 use super::{Model, Transition, DRAINED};
 use crate::common::*;
 use cloverhollow::{ListMode, SessionPolicy, SessionReport};
-use cloverhollow_knowledge::Level;
+use cloverhollow_knowledge::KnowledgeLevel;
 use cloverhollow_recovery::{frame, recover, Boot, Bounds, Deed, Found, Recovered, Stamp};
 use cloverhollow_session::*;
 use cloverhollow_settings::FrontSettings;
@@ -210,7 +210,7 @@
                     self.now,
                     9,
                     None,
-                    Level::Warm,
+                    KnowledgeLevel::Warm,
                     Vec::new(),
                 );
                 let peer = ([127, 0, 0, 1], 1).into();
--- a/crates/session/tests/peer_knowledge.rs
+++ b/crates/session/tests/peer_knowledge.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cloverhollow::{ListMode, SessionPolicy};
-use cloverhollow_knowledge::Level;
+use cloverhollow_knowledge::KnowledgeLevel;
 use cloverhollow_session::*;
 use common::*;
 use std::time::Duration;
@@ -20,7 +20,8 @@
 
 /// Merges the knowledge of `from` into `to`, whose clock shows `now`.
 fn share(from: &TestCore, from_now: Duration, to: &mut TestCore, now: Duration) -> Vec<String> {
-    let message = from.knowledge_snapshot().latest().message(from_now, 9, None, Level::Warm, Vec::new());
+    let message =
+        from.knowledge_snapshot().latest().message(from_now, 9, None, KnowledgeLevel::Warm, Vec::new());
     let peer = ([127, 0, 0, 1], 1).into();
     let input = Input::PeerMessage { peer, requested_at: now, nonce: 9, message: Box::new(message) };
     summaries(&to.step(now, [input]))
@@ -119,7 +120,7 @@
     let s = sent_setup(&old.step(START, [arrived(1, "o", "clip")]));
     old.step(START + ms(5), [attempt_ended(s.attempt, AttemptEnd::NotConnected)]);
     let persisted =
-        old.knowledge_snapshot().latest().message(START + ms(9), 0, None, Level::Warm, Vec::new());
+        old.knowledge_snapshot().latest().message(START + ms(9), 0, None, KnowledgeLevel::Warm, Vec::new());
     // The same front after a restart, with an older list and a clock that is a year ahead: the drain counts, the
     // failure of unknown age does not.
     let mut new = core_named("front-1", 2);
@@ -136,7 +137,7 @@
     let (mut old, mut new) = (core_named("front-1", 1), core_named("front-2", 1));
     old.step(START, [versioned(8, entries(1, WireState::Gone))]);
     new.step(START, [versioned(5, entries(1, WireState::Serving))]);
-    let message = old.knowledge_snapshot().latest().message(START, 9, None, Level::Warm, Vec::new());
+    let message = old.knowledge_snapshot().latest().message(START, 9, None, KnowledgeLevel::Warm, Vec::new());
     let input = |nonce, message| Input::PeerMessage {
         peer: ([127, 0, 0, 1], 1).into(),
         requested_at: START,
@@ -144,7 +145,7 @@
         message,
     };
     assert_eq!(summaries(&new.step(START, [input(8, Box::new(message.clone()))])), ["merged false"]);
-    let other = cloverhollow_knowledge::wire::Message { fleet: 1, ..message };
+    let other = cloverhollow_knowledge::wire::Message { fleet_id: 1, ..message };
     assert_eq!(summaries(&new.step(START, [input(9, Box::new(other))])), ["merged false"]);
     sent_setup(&new.step(START + ms(5), [arrived(1, "n", "clip")]));
 }
