--- a/crates/front/src/lives.rs
+++ b/crates/front/src/lives.rs
@@ -68,7 +68,10 @@
     let Some(found) = found else { return without(settings) };
     let (paper, bytes, changed_ms) = (found.log, found.bytes, found.changed_unix_ms);
     let (boot, now) = (boot(), stamp());
-    let bounds = LedgerLimits { paid_sessions: settings.sessions.max_spent_sessions.as_usize(), ..LedgerLimits::default() };
+    let bounds = LedgerLimits {
+        paid_sessions: settings.sessions.max_spent_sessions.as_usize(),
+        ..LedgerLimits::default()
+    };
     let there = FoundLog { bytes: bytes.as_deref(), changed_unix_ms: changed_ms, ran_before };
     let (ledger, recovered) = recover(there, boot, now, &bounds);
     if let Trust::Unproven(why) = recovered.trust {
--- a/crates/front/src/side.rs
+++ b/crates/front/src/side.rs
@@ -59,7 +59,10 @@
             open_ms: AtomicU64::new(0),
             level: Mutex::new((KnowledgeLevel::Cold, LevelReason::NotStarted)),
             peers: Mutex::new(settings.addresses.iter().copied().collect()),
-            feeds: Mutex::new(KnowledgeTransfers::new(settings.max_feeds.as_usize(), settings.retry_after_ms.get())),
+            feeds: Mutex::new(KnowledgeTransfers::new(
+                settings.max_feeds.as_usize(),
+                settings.retry_after_ms.get(),
+            )),
             fleet,
         }
     }
