--- a/crates/out/src/acceptor.rs
+++ b/crates/out/src/acceptor.rs
@@ -1,15 +1,15 @@
-//! A witness's side: what it promised, what it took, and since when it has had each lease.
+//! Acceptor side of the register: its promise, its accepted value, and the age of each lease.
 //!
-//! A witness that starts without what it kept has forgotten promises and values. What keeps that harmless,
-//! beside the majority that did not forget:
+//! An acceptor that starts without its persisted state has forgotten promises and values. Besides the majority
+//! that did not forget, three rules keep this harmless:
 //!
-//! - all tries that began before it stopped are over when it has waited: an asker uses promises for [`ROUND`]
-//!   after its question went out, a witness takes a value for [`ROUND`] after its promise, and only with the
-//!   life that promised in it;
-//! - all leases that it may have forgotten are over by then too;
-//! - it counts as seeing again only when it has taken a value that it promised after it had waited. That one
-//!   was built on the answers of a majority that saw, so it is no older than anything that it took before it
-//!   forgot.
+//! - After [`recovery_time`], all attempts that began before the restart have ended: a proposer uses promises
+//!   for [`ROUND_TIMEOUT`] after its prepare message, and an acceptor accepts a value for [`ROUND_TIMEOUT`]
+//!   after its promise, and only if the message names the incarnation that promised.
+//! - After [`recovery_time`], all leases that the acceptor may have forgotten have expired.
+//! - The acceptor becomes [`MemoryState::Current`] only when it accepts a value that it promised after that
+//!   time. The value was derived from the promises of a majority of current acceptors, so it is at least as new
+//!   as anything that the acceptor accepted before it forgot.
 
 use crate::message::Message;
 use crate::types::*;
@@ -18,157 +18,205 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a disk keeps of a witness: written before its answer goes out.
+/// State of an acceptor that survives a restart. The caller must persist it before it sends the response that
+/// depends on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The highest try that it promised.
+    /// Highest ballot that the acceptor promised.
     pub promised: Ballot,
-    /// What it took last.
+    /// Value that the acceptor accepted last, and its ballot.
     #[serde(rename = "taken")]
     pub accepted: Option<(Ballot, Register)>,
-    /// It was not one that had forgotten.
+    /// True if the acceptor was [`MemoryState::Current`].
     #[serde(rename = "sees")]
     pub is_current: bool,
 }
 
-/// How long one that forgot is blind, where no lease is longer than that.
-pub fn recovery_time(longest: Duration) -> Duration {
-    hold_time(longest) + ROUND_TIMEOUT * 4
+/// Time after a start without persisted state during which an acceptor is [`MemoryState::Recovering`].
+/// `max_lease` is the longest lease that any acceptor accepts.
+pub fn recovery_time(max_lease: Duration) -> Duration {
+    hold_time(max_lease) + ROUND_TIMEOUT * 4
 }
 
-/// A witness.
+/// Paxos acceptor of the register, run by each witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    me: SocketAddr,
-    life: u64,
-    longest: Duration,
-    waited_at: Duration,
-    sees: bool,
+    /// Address of this witness, as in the settings.
+    address: SocketAddr,
+    /// Incarnation of this process.
+    incarnation: u64,
+    /// Longest lease that the acceptor accepts.
+    max_lease: Duration,
+    /// End of the recovery time; from then on nothing that may have been forgotten is in force.
+    recovered_at: Duration,
+    /// True if the acceptor knows everything that it ever accepted.
+    is_current: bool,
+    /// Highest ballot promised.
     promised: Ballot,
-    /// When it first promised that, in this life.
+    /// Time at which this incarnation first promised that ballot.
     promised_at: Option<Duration>,
-    taken: Option<(Ballot, Register)>,
-    since: BTreeMap<LeaseId, Duration>,
+    /// Value accepted last, and its ballot.
+    accepted: Option<(Ballot, Register)>,
+    /// Time at which each lease of the accepted value was first accepted.
+    lease_starts: BTreeMap<LeaseId, Duration>,
 }
 
 impl Acceptor {
-    /// One that starts now. `me`: as the settings name it; `life`: drawn at the start; `longest`: no lease is
-    /// longer, at all witnesses alike; `kept`: what its disk kept, if anything.
+    /// Creates the acceptor of a process that starts at `now`.
+    ///
+    /// `address` is the witness's address in the settings, `incarnation` is drawn at the start of the process,
+    /// `max_lease` is the longest lease and must be the same at all witnesses, and `persisted` is the state that
+    /// an earlier incarnation left on disk, if any.
     pub fn new(
         now: Duration,
-        me: SocketAddr,
-        life: u64,
-        longest: Duration,
-        kept: Option<PersistedState>,
+        address: SocketAddr,
+        incarnation: u64,
+        max_lease: Duration,
+        persisted: Option<PersistedState>,
     ) -> Acceptor {
-        let PersistedState { promised, accepted: taken, is_current: sees } = kept.unwrap_or_default();
-        let waited_at = now + recovery_time(longest);
-        let (since, promised_at) = (BTreeMap::new(), None);
-        let mut clerk = Acceptor { me, life, longest, waited_at, sees, promised, promised_at, taken, since };
-        clerk.count_from(now);
-        clerk
+        let PersistedState { promised, accepted, is_current } = persisted.unwrap_or_default();
+        let recovered_at = now + recovery_time(max_lease);
+        let (lease_starts, promised_at) = (BTreeMap::new(), None);
+        let mut acceptor = Acceptor {
+            address,
+            incarnation,
+            max_lease,
+            recovered_at,
+            is_current,
+            promised,
+            promised_at,
+            accepted,
+            lease_starts,
+        };
+        acceptor.update_lease_starts(now);
+        acceptor
     }
 
-    /// What its word counts for.
+    /// State of the acceptor's memory, which decides how its responses count.
     pub fn memory_state(&self, now: Duration) -> MemoryState {
-        match self.sees {
+        match self.is_current {
             true => MemoryState::Current,
-            false if now >= self.waited_at => MemoryState::WaitedOut,
+            false if now >= self.recovered_at => MemoryState::WaitedOut,
             false => MemoryState::Recovering,
         }
     }
 
-    /// A word came: the answer and where it goes.
-    pub fn handle_message(&mut self, now: Duration, word: &Message) -> Option<(SocketAddr, Message)> {
-        match word {
-            Message::Prepare { ballot, reply_to: reply } => Some((*reply, self.prepare(now, *ballot))),
-            Message::Accept { ballot, reply_to: reply, incarnation: life, value } => {
-                Some((*reply, self.accept(now, *ballot, *life, value)?))
+    /// Handles a message from a proposer and returns the response with its destination, if there is one.
+    pub fn handle_message(&mut self, now: Duration, message: &Message) -> Option<(SocketAddr, Message)> {
+        match message {
+            Message::Prepare { ballot, reply_to } => Some((*reply_to, self.prepare(now, *ballot))),
+            Message::Accept { ballot, reply_to, incarnation, value } => {
+                Some((*reply_to, self.accept(now, *ballot, *incarnation, value)?))
             }
             _ => None,
         }
     }
 
+    /// Promises the ballot, or rejects it if a higher one is promised already.
     fn prepare(&mut self, now: Duration, ballot: Ballot) -> Message {
-        let witness = self.me;
+        let witness = self.address;
         if ballot < self.promised {
             return Message::Rejected { ballot, witness, promised: self.promised };
         }
         if ballot > self.promised || self.promised_at.is_none() {
             (self.promised, self.promised_at) = (ballot, Some(now));
         }
-        let (expired_leases, memory) = (self.lapsed(now), self.memory_state(now));
+        let (expired_leases, memory) = (self.expired_leases(now), self.memory_state(now));
         Message::Promise {
             ballot,
             witness,
-            incarnation: self.life,
-            accepted: self.taken.clone(),
+            incarnation: self.incarnation,
+            accepted: self.accepted.clone(),
             expired_leases,
             memory,
         }
     }
 
-    fn accept(&mut self, now: Duration, ballot: Ballot, life: u64, value: &Register) -> Option<Message> {
-        let witness = self.me;
+    /// Accepts the value if this incarnation promised its ballot and the promise is still valid.
+    fn accept(
+        &mut self,
+        now: Duration,
+        ballot: Ballot,
+        incarnation: u64,
+        value: &Register,
+    ) -> Option<Message> {
+        let witness = self.address;
         if ballot < self.promised {
             return Some(Message::Rejected { ballot, witness, promised: self.promised });
         }
-        if self.taken.as_ref().is_none_or(|t| t.0 < ballot) {
-            // Guards against a value that comes so late that what its try rests on may have been forgotten.
-            let promised = self.promised_at.filter(|_| ballot == self.promised && life == self.life)?;
-            let in_time = now <= promised + ROUND_TIMEOUT;
-            if !in_time || value.check_invariants().is_err() || value.longest_lease() > self.longest {
+        if self.accepted.as_ref().is_none_or(|accepted| accepted.0 < ballot) {
+            // A value that arrives later may rest on promises that other acceptors have forgotten since.
+            let promised_at =
+                self.promised_at.filter(|_| ballot == self.promised && incarnation == self.incarnation)?;
+            let in_time = now <= promised_at + ROUND_TIMEOUT;
+            if !in_time || value.check_invariants().is_err() || value.longest_lease() > self.max_lease {
                 return None;
             }
-            self.sees |= promised >= self.waited_at;
-            self.taken = Some((ballot, value.clone()));
-            self.count_from(now);
+            self.is_current |= promised_at >= self.recovered_at;
+            self.accepted = Some((ballot, value.clone()));
+            self.update_lease_starts(now);
         }
         Some(Message::Accepted { ballot, witness, memory: self.memory_state(now) })
     }
 
+    /// Leases of the accepted value: bit number in [`Message::Promise`], id and hold time.
     fn leases(&self) -> impl Iterator<Item = (usize, LeaseId, Duration)> + '_ {
-        let value = self.taken.iter().map(|t| &t.1);
-        let permits = value.clone().flat_map(|v| v.permits.iter().enumerate());
-        let release = value.filter_map(|v| v.release).map(|r| (MAX_PERMITS, r.lease_id(), r.hold_time()));
-        permits.map(|(n, p)| (n, p.lease_id(), p.hold_time())).chain(release)
+        let value = self.accepted.iter().map(|accepted| &accepted.1);
+        let permits = value.clone().flat_map(|value| value.permits.iter().enumerate());
+        let release =
+            value.filter_map(|value| value.release).map(|r| (MAX_PERMITS, r.lease_id(), r.hold_time()));
+        permits.map(|(bit, permit)| (bit, permit.lease_id(), permit.hold_time())).chain(release)
     }
 
-    /// Counts each lease's age from when this very one was first taken.
-    fn count_from(&mut self, now: Duration) {
-        let old = std::mem::take(&mut self.since);
-        let since = self.leases().map(|(_, id, _)| (id, old.get(&id).copied().unwrap_or(now))).collect();
-        self.since = since;
+    /// Records `now` as the start of each new lease and drops leases that are no longer in the value. A lease
+    /// that was accepted before with the same id keeps its start.
+    fn update_lease_starts(&mut self, now: Duration) {
+        let old = std::mem::take(&mut self.lease_starts);
+        let starts = self.leases().map(|(_, id, _)| (id, old.get(&id).copied().unwrap_or(now))).collect();
+        self.lease_starts = starts;
     }
 
-    fn lapsed(&self, now: Duration) -> u32 {
-        let over = |(_, id, hold): &(usize, LeaseId, Duration)| {
-            self.since.get(id).is_some_and(|since| now.saturating_sub(*since) > *hold)
+    /// Bit set of the leases whose hold time has passed.
+    fn expired_leases(&self, now: Duration) -> u32 {
+        let expired = |(_, id, hold_time): &(usize, LeaseId, Duration)| {
+            self.lease_starts.get(id).is_some_and(|start| now.saturating_sub(*start) > *hold_time)
         };
-        self.leases().filter(over).fold(0, |bits, (n, _, _)| bits | 1 << n)
+        self.leases().filter(expired).fold(0, |bits, (bit, _, _)| bits | 1 << bit)
     }
 
-    /// Where it is, as the settings name it.
+    /// Address of this witness, as in the settings.
     pub fn address(&self) -> SocketAddr {
-        self.me
+        self.address
     }
 
-    /// What a disk keeps.
+    /// State to persist before the next response is sent.
     pub fn persisted_state(&self) -> PersistedState {
-        PersistedState { promised: self.promised, accepted: self.taken.clone(), is_current: self.sees }
+        PersistedState {
+            promised: self.promised,
+            accepted: self.accepted.clone(),
+            is_current: self.is_current,
+        }
     }
 
-    /// What it took last.
+    /// Value accepted last.
     pub fn accepted_value(&self) -> Option<&Register> {
-        self.taken.as_ref().map(|t| &t.1)
+        self.accepted.as_ref().map(|accepted| &accepted.1)
     }
 
+    /// Checks the invariants of the acceptor and of its accepted value.
+    ///
     /// # Errors
-    /// An invariant that does not hold.
+    /// The first invariant that does not hold.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
-        let is = |good, what| ensure(good, "clerk", self.me.port().into(), what);
-        is(self.taken.as_ref().is_none_or(|t| t.0 <= self.promised), "nothing taken above what it promised")?;
-        is(self.leases().count() == self.since.len(), "an age for each lease, and no more")?;
+        let is = |good, what| ensure(good, "acceptor", self.address.port().into(), what);
+        is(
+            self.accepted.as_ref().is_none_or(|accepted| accepted.0 <= self.promised),
+            "accepted ballot is not above the promised one",
+        )?;
+        is(
+            self.leases().count() == self.lease_starts.len(),
+            "each lease of the accepted value has exactly one start",
+        )?;
         self.accepted_value().map_or(Ok(()), Register::check_invariants)
     }
 }
--- a/crates/out/src/change.rs
+++ b/crates/out/src/change.rs
@@ -1,111 +1,111 @@
-//! Changes of the register, and why one is not made.
+//! Changes of the register, and the reasons for which one is denied.
 
 use crate::release::ReleaseEvent;
 use crate::types::{HaltCause, Place, Stage, Subject, Term};
 
-/// Why a change was not made.
+/// Reason why a change was denied. Operators see the texts on the members page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum DenialReason {
-    /// As many are out as may be, of the fleet.
+    /// The limit of members out of service in the fleet is reached.
     #[error("as many of the fleet are out as may be")]
     FleetLimit,
-    /// Of the hall.
+    /// The limit of members out of service in the zone is reached.
     #[error("as many of the hall are out as may be")]
     ZoneLimit,
-    /// Of the rack.
+    /// The limit of members out of service in the rack is reached.
     #[error("as many of the rack are out as may be")]
     RackLimit,
-    /// It is the last one that serves some title.
+    /// The server is the last one in service that holds some title.
     #[error("the last one that serves some title")]
     LastCopy,
-    /// The hall's link has not that much free.
+    /// The zone's link has too little free capacity to lose the server.
     #[error("the hall's link is needed")]
     LinkCapacity,
-    /// The view is too unsure.
+    /// The membership view has been uncertain for too long.
     #[error("the view is too unsure")]
     UncertainView,
-    /// The register is full.
+    /// The register holds [`crate::MAX_PERMITS`] permits.
     #[error("the register is full")]
     RegisterFull,
-    /// Another process holds a permit for the same one.
+    /// Another process holds a permit for the same subject.
     #[error("another process holds that permit")]
     HeldByAnother,
-    /// A lease longer than witnesses wait.
+    /// The lease is longer than the maximum of the witnesses.
     #[error("too long a lease")]
     LeaseTooLong,
-    /// The release is not one under which anybody goes.
+    /// The change names no current release, or its stage does not allow the change.
     #[error("nobody goes under that release now")]
     ReleaseInactive,
-    /// Another drives, or drove since.
+    /// Another process drives the release, or has driven it since.
     #[error("another drives the release")]
     Fenced,
-    /// The table of releases has no such move.
+    /// [`crate::next_stage`] has no such transition.
     #[error("no such move of a release")]
     InvalidTransition,
 }
 
-/// One change. Each is idempotent: made twice, by the same `ask`, it is made once.
+/// Change of the register. Each is idempotent: applied twice with the same request id, it takes effect once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Change {
-    /// A permit, or its renewal by the same holder.
+    /// Grants a permit, or renews it for the same holder.
     Grant {
-        /// For whom.
+        /// Member that may be out of service.
         subject: Subject,
-        /// Where that one stands.
+        /// Location of the subject.
         place: Place,
-        /// For how long, ms.
+        /// Duration of the lease in milliseconds.
         lease_ms: u32,
-        /// The release under which it goes, if any.
+        /// Number of the release under which it goes out of service, if any.
         release: Option<u64>,
     },
-    /// The permit's subject is back. Its holder does not use it any more, from before it asks this.
+    /// Returns a permit. Its holder must have stopped using it before it submits this.
     ReturnPermit {
-        /// Who.
+        /// Subject of the permit.
         subject: Subject,
     },
-    /// A new release, driven by the asker.
+    /// Registers a new release, driven by the proposer.
     StartRelease {
-        /// Above the last one's.
+        /// Number of the release, above that of the last one.
         number: u64,
-        /// The plan's digest.
+        /// Digest of the plan.
         plan_digest: u64,
-        /// It takes another one back: it may begin at any time, and over another one.
+        /// True for a rollback, which may start at any time and replace a release in progress.
         is_rollback: bool,
-        /// The driver's lease, ms.
+        /// Duration of the driver's lease in milliseconds.
         lease_ms: u32,
     },
-    /// The asker drives from now on, or goes on driving: renews its lease.
+    /// Makes the proposer the driver of the release, or renews its lease.
     DriveRelease {
-        /// The plans that the asker has, by digest: the release's and its way back.
+        /// Digests of the plans that the proposer has: the release's and its rollback's.
         plan_digests: [u64; 2],
-        /// The driver's lease, ms.
+        /// Duration of the driver's lease in milliseconds.
         lease_ms: u32,
     },
-    /// A move of the release, by its driver.
+    /// Moves the release to its next stage; allowed for its driver only.
     AdvanceRelease {
-        /// The driver's fence.
+        /// Fencing token of the driver.
         fence: Term,
-        /// Where it stands.
+        /// Stage before the transition.
         from: Stage,
-        /// What happened.
+        /// Event that causes the transition.
         event: ReleaseEvent,
-        /// Waves of the plan.
+        /// Number of the last wave of the plan.
         last_wave: u16,
     },
-    /// Anybody may halt a release.
+    /// Halts a release; allowed for every process.
     HaltRelease {
-        /// Which.
+        /// Number of the release.
         number: u64,
-        /// Why.
+        /// Reason for the halt.
         cause: HaltCause,
     },
 }
 
-/// What a change came to.
+/// Effect of a change that was allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Applied {
-    /// It is made.
+    /// The register was changed.
     Changed,
-    /// It had been made.
+    /// The register had the change already.
     AlreadyApplied,
 }
--- a/crates/out/src/driver.rs
+++ b/crates/out/src/driver.rs
@@ -1,7 +1,8 @@
-//! A front that drives a release, or stands by to go on with it.
+//! Driver of a release, or a standby that takes over when the driver's lease expires.
 //!
-//! All that one needs is the plan, the record at the witnesses, and what the fronts report: what a front
-//! already has is not done again. It acts only while its lease holds, and each act bears the lease's fence.
+//! A driver needs only the plan, the release record of the register, and the reports of the fronts: what a front
+//! has already is not done again. It acts only while its lease is valid, and each order carries the lease's
+//! fencing token.
 
 use crate::change::{Change, DenialReason};
 use crate::halt_detector::HaltDetector;
@@ -14,190 +15,214 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A change that came to nothing is asked for again after so long.
-const LATER: Duration = Duration::from_secs(1);
-/// A lease is renewed when this part of it is left.
-const LEFT: u32 = 2;
+/// Delay after which a change that did not succeed is submitted again.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The lease is renewed when one part in this many of it is left.
+const RENEWAL_DIVISOR: u32 = 2;
 
-/// A front that drives, or stands by.
+/// Driver or standby of a release, run by a front.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Driver {
-    pub(crate) me: u64,
+    /// Incarnation of this process.
+    pub(crate) incarnation: u64,
+    /// Plan of the release, or of its rollback once that has been started.
     pub(crate) plan: Plan,
+    /// Duration of the requested lease in milliseconds.
     pub(crate) lease_ms: u32,
-    /// Who stands by asks later by that many leases.
-    pub(crate) rank: u32,
+    /// Number of standbys before this one; it waits that many leases longer before it tries to take over.
+    pub(crate) standby_rank: u32,
+    /// Time without a report after which a front counts as out of service.
     pub(crate) silent_after: Duration,
-    pub(crate) begins: bool,
-    pub(crate) asked: bool,
-    pub(crate) not_before: Duration,
+    /// True if the release or rollback is to be registered.
+    pub(crate) start_requested: bool,
+    /// True while a submitted change has no outcome yet.
+    pub(crate) change_in_progress: bool,
+    /// Earliest time of the next change.
+    pub(crate) next_change_at: Duration,
+    /// Release record of the last value that a change returned.
     pub(crate) record: Option<ReleaseRecord>,
+    /// Driver's lease, if held.
     pub(crate) lease: Option<GrantedLease>,
-    /// When the release came to its stage, as far as this one knows.
-    pub(crate) since: Duration,
-    pub(crate) foretold: Option<bool>,
-    pub(crate) halts: HaltDetector,
-    pub(crate) acted: BTreeMap<u64, (FencedOrder, Duration)>,
+    /// Time at which this process learnt of the current stage.
+    pub(crate) stage_since: Duration,
+    /// Result of the forecast, if known.
+    pub(crate) forecast_allows: Option<bool>,
+    /// Detector of reasons to halt.
+    pub(crate) halt_detector: HaltDetector,
+    /// Last order to each front, and when it was sent.
+    pub(crate) sent_orders: BTreeMap<u64, (FencedOrder, Duration)>,
 }
 
 impl Driver {
-    /// One that stands by. `me`: its asker's life; `rank`: others that stand by before it; `silent_after`: a
-    /// front that was not heard of for so long counts as out.
+    /// Creates a standby.
+    ///
+    /// `incarnation` is that of the process's proposer, `standby_rank` is the number of standbys that try before
+    /// this one, and a front without a report for `silent_after` counts as out of service.
     pub fn new(
         now: Duration,
-        me: u64,
+        incarnation: u64,
         plan: Plan,
         lease_ms: u32,
-        rank: u32,
+        standby_rank: u32,
         silent_after: Duration,
     ) -> Driver {
-        let halts = HaltDetector::new(plan.false_halt_ppm);
-        let not_before = now + Duration::from_millis(lease_ms.into()) * rank;
+        let halt_detector = HaltDetector::new(plan.false_halt_ppm);
+        let next_change_at = now + Duration::from_millis(lease_ms.into()) * standby_rank;
         Driver {
-            me,
+            incarnation,
             plan,
             lease_ms,
-            rank,
+            standby_rank,
             silent_after,
-            begins: false,
-            asked: false,
-            not_before,
+            start_requested: false,
+            change_in_progress: false,
+            next_change_at,
             record: None,
             lease: None,
-            since: now,
-            foretold: None,
-            halts,
-            acted: BTreeMap::new(),
+            stage_since: now,
+            forecast_allows: None,
+            halt_detector,
+            sent_orders: BTreeMap::new(),
         }
     }
 
-    /// Begins the release. Where another one is not over it does not begin: ask again then.
+    /// Requests the start of the release. It does not start while another release is in progress; call this again
+    /// when that one has ended.
     pub fn start_release(&mut self) {
-        self.begins = true;
+        self.start_requested = true;
     }
 
-    /// Begins the way back, whatever the release has come to.
+    /// Requests the start of the rollback, at whatever stage the release is.
     pub fn start_rollback(&mut self, now: Duration) {
         if self.plan.rollback_of.is_none() {
-            self.go_back(now);
-            (self.begins, self.not_before) = (true, now);
+            self.switch_to_rollback(now);
+            (self.start_requested, self.next_change_at) = (true, now);
         }
     }
 
-    fn go_back(&mut self, now: Duration) {
+    /// Replaces the plan by its rollback plan.
+    fn switch_to_rollback(&mut self, now: Duration) {
         self.plan = self.plan.rollback_plan();
-        self.halts = HaltDetector::new(self.plan.false_halt_ppm);
-        (self.since, self.acted) = (now, BTreeMap::new());
+        self.halt_detector = HaltDetector::new(self.plan.false_halt_ppm);
+        (self.stage_since, self.sent_orders) = (now, BTreeMap::new());
     }
 
-    /// What the forecast says of the plan.
+    /// Sets whether the forecast allows the release.
     pub fn set_forecast(&mut self, allows: bool) {
-        self.foretold = Some(allows);
+        self.forecast_allows = Some(allows);
     }
 
-    /// The plan that it drives: the way back's, once that was begun.
+    /// Plan that is driven: the rollback plan once the rollback has been requested.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// The record as it was last heard.
+    /// Release record of the last value that a change returned.
     pub fn record(&self) -> Option<&ReleaseRecord> {
         self.record.as_ref()
     }
 
-    /// Whether it may act.
+    /// Returns whether this process holds the driver's lease at `now`.
     pub fn is_driving(&self, now: Duration) -> bool {
-        self.lease.is_some_and(|l| l.is_valid_at(now))
+        self.lease.is_some_and(|lease| lease.is_valid_at(now))
     }
 
-    /// How the last change ended.
+    /// Handles the outcome of the change that was submitted last.
     pub fn handle_outcome(&mut self, now: Duration, outcome: Outcome) {
-        self.asked = false;
-        self.not_before = now + LATER;
+        self.change_in_progress = false;
+        self.next_change_at = now + RETRY_DELAY;
         match outcome {
             Outcome::Committed(register, granted) => {
                 let stage = self.record.map(|r| (r.number, r.stage));
                 self.record = register.release;
-                let record = self.record.filter(|r| r.driver == self.me);
+                let record = self.record.filter(|r| r.driver == self.incarnation);
                 if let Some(r) = record {
-                    self.lease = granted.filter(|g| g.lease_id == r.lease_id()).or(self.lease);
-                    self.not_before = now;
+                    self.lease = granted.filter(|lease| lease.lease_id == r.lease_id()).or(self.lease);
+                    self.next_change_at = now;
                     if r.number > self.plan.number && r.plan_digest == self.plan.rollback_plan().digest() {
-                        self.go_back(now);
+                        self.switch_to_rollback(now);
                     }
-                    self.begins &= r.number < self.plan.number;
+                    self.start_requested &= r.number < self.plan.number;
                 } else {
                     self.lease = None;
                 }
                 if stage != self.record.map(|r| (r.number, r.stage)) {
-                    self.since = now;
+                    self.stage_since = now;
                 }
                 let record = self.record;
-                self.acted.retain(|_, (act, _)| record.is_some_and(|r| r.fence == act.fence));
+                self.sent_orders.retain(|_, (order, _)| record.is_some_and(|r| r.fence == order.fence));
             }
-            // Another drives, or there is nothing to drive, or this one does not know where it stands.
+            // Another process drives, there is nothing to drive, or the known record is out of date.
             Outcome::Denied(DenialReason::Fenced | DenialReason::ReleaseInactive) => {
-                (self.lease, self.begins) = (None, false);
-                self.not_before = now + Duration::from_millis(self.lease_ms.into()) * (1 + self.rank);
+                (self.lease, self.start_requested) = (None, false);
+                self.next_change_at =
+                    now + Duration::from_millis(self.lease_ms.into()) * (1 + self.standby_rank);
             }
             Outcome::Denied(DenialReason::InvalidTransition) => self.lease = None,
             Outcome::Denied(_) | Outcome::NoQuorum | Outcome::Unknown => {}
         }
     }
 
-    /// What to do now, by what the fronts report and the view says.
+    /// Returns the next actions, given the fronts' reports and the membership view.
     pub fn step(
         &mut self,
         now: Duration,
         reports: &BTreeMap<u64, FrontReport>,
-        world: &FleetView,
+        fleet: &FleetView,
     ) -> Vec<DriverAction> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let reports: BTreeMap<u64, FrontReport> =
             reports.iter().take(MAX_REPORTS).map(|(n, r)| (*n, *r)).collect();
         let record = self.record.filter(|r| self.is_driving(now) && r.plan_digest == self.plan.digest());
-        let over = |r: &ReleaseRecord| matches!(r.stage, Stage::Done | Stage::RolledBack);
-        if let Some(r) = record.filter(|r| !over(r) && !self.begins) {
-            let change = self.go_on(now, r, &reports, world, &mut out);
+        let has_ended = |r: &ReleaseRecord| matches!(r.stage, Stage::Done | Stage::RolledBack);
+        if let Some(r) = record.filter(|r| !has_ended(r) && !self.start_requested) {
+            let change = self.advance(now, r, &reports, fleet, &mut actions);
             let lease = Duration::from_millis(r.lease_ms.into());
-            let ends = self.lease.is_some_and(|l| now + lease / LEFT >= l.expires_at);
-            if let Some(change) = change.or(ends.then_some(self.drive())) {
-                self.ask(now, change, &mut out);
+            let renewal_due = self.lease.is_some_and(|l| now + lease / RENEWAL_DIVISOR >= l.expires_at);
+            if let Some(change) = change.or(renewal_due.then_some(self.drive_change())) {
+                self.submit(now, change, &mut actions);
             }
-        } else if self.begins {
+        } else if self.start_requested {
             let (number, plan_digest) = (self.plan.number, self.plan.digest());
             let is_rollback = self.plan.rollback_of.is_some();
-            self.ask(
+            self.submit(
                 now,
                 Change::StartRelease { number, plan_digest, is_rollback, lease_ms: self.lease_ms },
-                &mut out,
+                &mut actions,
             );
-        } else if !self.record.as_ref().is_some_and(over) {
-            self.ask(now, self.drive(), &mut out);
+        } else if !self.record.as_ref().is_some_and(has_ended) {
+            self.submit(now, self.drive_change(), &mut actions);
         }
-        out
+        actions
     }
 
-    fn drive(&self) -> Change {
+    /// Change that takes over the release or renews the lease.
+    fn drive_change(&self) -> Change {
         let plan_digests = [self.plan.digest(), self.plan.rollback_plan().digest()];
         Change::DriveRelease { plan_digests, lease_ms: self.lease_ms }
     }
 
-    fn ask(&mut self, now: Duration, change: Change, out: &mut Vec<DriverAction>) {
-        if !self.asked && now >= self.not_before {
-            self.asked = true;
-            out.push(DriverAction::Submit(change));
+    /// Submits a change unless one is in progress or it is too early.
+    fn submit(&mut self, now: Duration, change: Change, actions: &mut Vec<DriverAction>) {
+        if !self.change_in_progress && now >= self.next_change_at {
+            self.change_in_progress = true;
+            actions.push(DriverAction::Submit(change));
         }
     }
 
+    /// Checks the invariants of the driver.
+    ///
     /// # Errors
-    /// An invariant that does not hold.
+    /// The first invariant that does not hold.
     pub fn check_invariants(&self, now: Duration) -> Result<(), InvariantViolation> {
-        let is = |good, what| ensure(good, "driver", self.me, what);
-        let mine = self.record.is_some_and(|r| r.driver == self.me);
-        is(!self.is_driving(now) || mine, "who drives is in the record")?;
-        is(self.acted.len() <= MAX_REPORTS, "orders to no more fronts than report")?;
+        let is = |good, what| ensure(good, "driver", self.incarnation, what);
+        let is_recorded = self.record.is_some_and(|r| r.driver == self.incarnation);
+        is(!self.is_driving(now) || is_recorded, "a process that drives is the driver of the record")?;
+        is(self.sent_orders.len() <= MAX_REPORTS, "orders go to no more fronts than may report")?;
         let fence = self.record.map_or(Term::default(), |r| r.fence);
-        is(self.acted.values().all(|(a, _)| a.fence == fence), "each order bears the record's fence")
+        is(
+            self.sent_orders.values().all(|(order, _)| order.fence == fence),
+            "each order carries the record's fencing token",
+        )
     }
 }
--- a/crates/out/src/limits.rs
+++ b/crates/out/src/limits.rs
@@ -1,4 +1,4 @@
-//! Who may go out, given who is out already.
+//! Limits on the number of members out of service at once.
 
 use crate::change::DenialReason;
 use crate::types::{Place, Register, Subject};
@@ -7,53 +7,53 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How many of one kind may be out at once.
+/// Maximum number of members of one kind that may be out of service at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MaxOutOfService {
-    /// Of the fleet.
+    /// Maximum in the whole fleet.
     pub fleet: u16,
-    /// Of a hall.
+    /// Maximum in one zone.
     #[serde(rename = "hall")]
     pub zone: u16,
-    /// Of a rack.
+    /// Maximum in one rack.
     pub rack: u16,
 }
 
-/// All limits.
+/// Limits that a grant is checked against.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Limits {
-    /// Of fronts.
+    /// Limits for fronts.
     pub fronts: MaxOutOfService,
-    /// Of video servers.
+    /// Limits for video servers.
     pub servers: MaxOutOfService,
-    /// A title lies on so many cells in a row; 0: it is not known on which.
+    /// Number of consecutive cells on which each title is stored; 0 if unknown, which disables the check.
     #[serde(rename = "copies")]
     pub cells_per_title: u32,
-    /// Cells in all, in a ring.
+    /// Number of cells in the ring.
     #[serde(rename = "cells")]
     pub ring_cells: u32,
-    /// What the forecast leaves free of each hall's link, kbit/s; a hall that is not there has nothing free.
-    /// `None`: links are not looked at.
+    /// Free capacity of each zone's link by the forecast, in kbit/s; a zone that is missing has none. `None`
+    /// disables the check.
     #[serde(rename = "free")]
     pub free_link_kbit_s: Option<BTreeMap<u32, u64>>,
-    /// The view must have been sure within so long, ms.
+    /// Longest time in milliseconds for which the membership view may have been uncertain.
     #[serde(rename = "unsure_ms")]
     pub max_uncertain_ms: u32,
 }
 
-/// Whether somebody serves, as far as is known.
+/// Availability of a member, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Availability {
-    /// It does.
+    /// In service.
     #[serde(rename = "Serves")]
     Serving,
-    /// It drains, is stopped, starts or warms.
+    /// Draining, stopped, starting or warming up.
     #[serde(rename = "Out")]
     OutOfService,
-    /// Nobody knows.
+    /// Suspected to have failed.
     #[serde(rename = "Doubted")]
     Suspect,
-    /// It is taken for dead.
+    /// Considered failed.
     #[serde(rename = "Gone")]
     Dead,
 }
@@ -68,32 +68,32 @@
     }
 }
 
-/// One front or server, as the view or the list has it.
+/// Status of a front or server in the membership view or the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MemberStatus {
-    /// Where.
+    /// Location of the member.
     pub place: Place,
-    /// Whether it serves.
+    /// Availability of the member.
     pub availability: Availability,
-    /// A server's part of its hall's link, kbit/s.
+    /// Share of its zone's link that a server uses, in kbit/s; 0 for a front.
     pub link_kbit_s: u64,
 }
 
-/// What an asker knows of the fleet.
+/// Fleet as one front knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FleetView {
-    /// All fronts and servers.
+    /// Status of all fronts and servers.
     pub members: BTreeMap<Subject, MemberStatus>,
-    /// How long ago the view was last sure.
+    /// Time since the view was last certain.
     pub uncertain_for: Duration,
 }
 
-/// What a change is judged by.
+/// Context in which a grant is checked.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantContext<'a> {
-    /// The fleet.
+    /// Fleet as the proposer knows it.
     pub fleet: &'a FleetView,
-    /// The limits.
+    /// Limits to check.
     pub limits: &'a Limits,
 }
 
@@ -101,54 +101,54 @@
     matches!((a, b), (Subject::Front(_), Subject::Front(_)) | (Subject::Server(_), Subject::Server(_)))
 }
 
-/// Whether this one may go out too. Who has a permit, and who does not serve for whatever reason, counts as
-/// out.
+/// Checks whether one more member may go out of service. Every member that has a permit or is not serving, for
+/// whatever reason, counts as out.
 ///
 /// # Errors
-/// Why not.
+/// The first limit that would be exceeded.
 pub fn check_limits(
     register: &Register,
-    world: &FleetView,
+    fleet: &FleetView,
     limits: &Limits,
     subject: Subject,
     place: Place,
 ) -> Result<(), DenialReason> {
-    if world.uncertain_for > Duration::from_millis(limits.max_uncertain_ms.into()) {
+    if fleet.uncertain_for > Duration::from_millis(limits.max_uncertain_ms.into()) {
         return Err(DenialReason::UncertainView);
     }
     let by_permit = register.permits.iter().map(|p| (p.subject, p.place));
-    let away = world.members.iter().filter(|(_, k)| k.availability != Availability::Serving);
-    let by_world = away.map(|(s, k)| (*s, k.place));
+    let unavailable = fleet.members.iter().filter(|(_, m)| m.availability != Availability::Serving);
+    let by_view = unavailable.map(|(s, m)| (*s, m.place));
     let out: BTreeMap<Subject, Place> =
-        by_world.chain(by_permit).filter(|(s, _)| *s != subject && same_kind(*s, subject)).collect();
-    let most = match subject {
+        by_view.chain(by_permit).filter(|(s, _)| *s != subject && same_kind(*s, subject)).collect();
+    let max = match subject {
         Subject::Front(_) => limits.fronts,
         Subject::Server(_) => limits.servers,
     };
-    let of = |same: &dyn Fn(&Place) -> bool| out.values().filter(|p| same(p)).count();
-    if out.len() >= most.fleet.into() {
+    let count = |is_near: &dyn Fn(&Place) -> bool| out.values().filter(|p| is_near(p)).count();
+    if out.len() >= max.fleet.into() {
         return Err(DenialReason::FleetLimit);
     }
-    if of(&|p| p.zone == place.zone) >= most.zone.into() {
+    if count(&|p| p.zone == place.zone) >= max.zone.into() {
         return Err(DenialReason::ZoneLimit);
     }
-    if place.rack.is_some() && of(&|p| p.zone == place.zone && p.rack == place.rack) >= most.rack.into() {
+    if place.rack.is_some() && count(&|p| p.zone == place.zone && p.rack == place.rack) >= max.rack.into() {
         return Err(DenialReason::RackLimit);
     }
     if let (Subject::Server(_), Some(free)) = (subject, &limits.free_link_kbit_s) {
-        let link = |s: &Subject| world.members.get(s).map_or(0, |k| k.link_kbit_s);
-        let gone = out.iter().filter(|(_, p)| p.zone == place.zone).map(|(s, _)| link(s));
-        let all = gone.fold(link(&subject), u64::saturating_add);
-        if all > free.get(&place.zone).copied().unwrap_or(0) {
+        let link_kbit_s = |s: &Subject| fleet.members.get(s).map_or(0, |m| m.link_kbit_s);
+        let out_kbit_s = out.iter().filter(|(_, p)| p.zone == place.zone).map(|(s, _)| link_kbit_s(s));
+        let needed_kbit_s = out_kbit_s.fold(link_kbit_s(&subject), u64::saturating_add);
+        if needed_kbit_s > free.get(&place.zone).copied().unwrap_or(0) {
             return Err(DenialReason::LinkCapacity);
         }
     }
-    last_holder(world, limits, &out, subject, place)
+    check_last_copy(fleet, limits, &out, subject, place)
 }
 
-/// Each run of cells that a title may lie on needs another server that serves.
-fn last_holder(
-    world: &FleetView,
+/// Checks that each run of cells on which a title may be stored keeps another server in service.
+fn check_last_copy(
+    fleet: &FleetView,
     limits: &Limits,
     out: &BTreeMap<Subject, Place>,
     subject: Subject,
@@ -159,13 +159,14 @@
         return Ok(());
     }
     let (cells, copies) = (limits.ring_cells, limits.cells_per_title.min(limits.ring_cells));
-    let others = world.members.iter().filter(|(s, _)| **s != subject && !out.contains_key(s));
-    let serve: BTreeSet<u32> = others.filter_map(|(_, k)| k.place.cell).map(|c| c % cells).collect();
-    // A run that holds the cell begins at it or less than `copies` before; only cells that serve are looked
-    // at, so a run without any is a gap of `copies` between two of them, this cell in it.
+    let others = fleet.members.iter().filter(|(s, _)| **s != subject && !out.contains_key(s));
+    let serving_cells: BTreeSet<u32> = others.filter_map(|(_, m)| m.place.cell).map(|c| c % cells).collect();
+    // A run that contains the cell begins at it or at one of the `copies - 1` cells before it. One of these runs
+    // has no other server in service if and only if at least `copies` cells lie between the nearest serving
+    // cells before and after this one.
     let cell = cell % cells;
-    let behind = serve.iter().map(|c| (cell + cells - c) % cells).min();
-    let ahead = serve.iter().map(|c| (c + cells - cell) % cells).min();
+    let behind = serving_cells.iter().map(|c| (cell + cells - c) % cells).min();
+    let ahead = serving_cells.iter().map(|c| (c + cells - cell) % cells).min();
     match (behind, ahead) {
         (Some(0), _) => Ok(()),
         (Some(behind), Some(ahead)) if behind + ahead - 1 < copies => Ok(()),
--- a/crates/out/src/message.rs
+++ b/crates/out/src/message.rs
@@ -1,71 +1,72 @@
-//! Words of one datagram between askers and witnesses.
+//! Messages between proposers and acceptors, each sent as one datagram.
 
 use crate::types::{Ballot, MemoryState, Register};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What is said between an asker and a witness, in one datagram.
+/// Message between a proposer and an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To a witness: promise to take nothing older.
+    /// Asks an acceptor to promise that it accepts no lower ballot (phase 1a).
     Prepare {
-        /// The try.
+        /// Ballot of the attempt.
         ballot: Ballot,
-        /// Where the answer goes.
+        /// Address for the response.
         #[serde(rename = "reply")]
         reply_to: SocketAddr,
     },
-    /// A witness promises, and tells what it took last.
+    /// Promise of an acceptor, with the value that it accepted last (phase 1b).
     Promise {
-        /// The try.
+        /// Ballot of the attempt.
         ballot: Ballot,
-        /// Who, as the settings name it.
+        /// Address of the acceptor, as in the settings.
         witness: SocketAddr,
-        /// Its life, drawn at its start.
+        /// Incarnation of the acceptor, drawn when its process starts.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// What it took last, and by which try.
+        /// Value that the acceptor accepted last, and its ballot.
         #[serde(rename = "taken")]
         accepted: Option<(Ballot, Register)>,
-        /// Bit n: it has had that value's permit n, by [`Id`], for longer than its hold. Bit
-        /// [`MOST_PERMITS`]: the release's lease.
+        /// Bit n is set if the acceptor has had the lease of that value's permit n, by [`crate::LeaseId`], for
+        /// longer than its hold time. Bit [`crate::MAX_PERMITS`] stands for the driver's lease of the release.
         #[serde(rename = "lapsed")]
         expired_leases: u32,
-        /// What its word counts for.
+        /// State of the acceptor's memory, which decides whether the promise counts.
         #[serde(rename = "sight")]
         memory: MemoryState,
     },
-    /// To a witness: take this.
+    /// Asks an acceptor to accept a value (phase 2a).
     Accept {
-        /// The try.
+        /// Ballot of the attempt.
         ballot: Ballot,
-        /// Where the answer goes.
+        /// Address for the response.
         #[serde(rename = "reply")]
         reply_to: SocketAddr,
-        /// The life of the witness that promised this try: another one must not take what it did not promise.
+        /// Incarnation of the acceptor that promised this ballot: a later incarnation must not accept what it
+        /// did not promise.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The new value.
+        /// New value of the register.
         value: Register,
     },
-    /// A witness took it.
+    /// Acknowledges that an acceptor accepted the value of the ballot (phase 2b).
     Accepted {
-        /// The try.
+        /// Ballot of the attempt.
         ballot: Ballot,
-        /// Who.
+        /// Address of the acceptor, as in the settings.
         witness: SocketAddr,
-        /// What its word counts for, now that it has taken this.
+        /// State of the acceptor's memory after it accepted the value.
         #[serde(rename = "sight")]
         memory: MemoryState,
     },
-    /// A witness has promised a later try.
+    /// Tells a proposer that the acceptor has promised a higher ballot.
     #[serde(rename = "Outbid")]
     Rejected {
-        /// The try that came too late.
+        /// Ballot that was rejected.
         ballot: Ballot,
-        /// Who.
+        /// Address of the acceptor, as in the settings.
         witness: SocketAddr,
-        /// What it promised.
+        /// Higher ballot that the acceptor has promised.
         promised: Ballot,
     },
 }
--- a/crates/out/src/proposer.rs
+++ b/crates/out/src/proposer.rs
@@ -1,4 +1,4 @@
-//! A front's side: one change at a time, by a majority of the witnesses.
+//! Proposer side of the register: submits one change at a time to a majority of the witnesses.
 
 use crate::change::Change;
 use crate::limits::GrantContext;
@@ -9,55 +9,70 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an asker is told at its start.
+/// Configuration of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ProposerConfig {
-    /// Where answers go.
+    /// Address to which acceptors send their responses.
     pub address: SocketAddr,
-    /// Drawn at the process's start.
+    /// Incarnation of this process, drawn at its start.
     pub incarnation: u64,
-    /// All witnesses, the same at all fronts.
+    /// Addresses of all witnesses, the same at all fronts.
     pub witnesses: Vec<SocketAddr>,
-    /// No lease is longer, at all witnesses alike.
+    /// Longest lease, the same at all witnesses.
     pub max_lease: Duration,
-    /// Of waits.
+    /// Seed of the pseudo-random backoff between attempts.
     pub backoff_seed: u64,
 }
 
-/// A front's side.
+/// Paxos proposer of the register, run by each front.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    pub(crate) set: ProposerConfig,
+    /// Configuration.
+    pub(crate) config: ProposerConfig,
+    /// Ballot of the current or last attempt.
     pub(crate) ballot: Ballot,
-    pub(crate) ask: u32,
-    /// The highest term that it heard of: none that it gives is lower.
-    pub(crate) floor: Term,
-    pub(crate) job: Option<Job>,
+    /// Number of the current or last request.
+    pub(crate) request_id: u32,
+    /// Highest term observed: every new value gets a higher one.
+    pub(crate) highest_term: Term,
+    /// Change in progress.
+    pub(crate) proposal: Option<Proposal>,
+    /// Outcome that the caller has not taken yet.
     pub(crate) outcome: Option<Outcome>,
-    /// The try that was done last: its ballot, its first question, its value.
-    pub(crate) last: Option<(Ballot, Duration, Register)>,
-    /// Whose permits it gives back: its own life's, or an earlier one's.
-    pub(crate) gives: u64,
+    /// Last committed attempt: its ballot, its start and its value.
+    pub(crate) last_committed: Option<(Ballot, Duration, Register)>,
+    /// Incarnation whose permits are returned: this one or an earlier one.
+    pub(crate) return_holder: u64,
 }
 
-pub(crate) type Words = Vec<(SocketAddr, Message)>;
+/// Messages to send, each with its destination.
+pub(crate) type OutgoingMessages = Vec<(SocketAddr, Message)>;
 
 impl Proposer {
-    /// One that has asked nothing.
-    pub fn new(set: ProposerConfig) -> Proposer {
-        let ballot = Ballot { round: 0, proposer: set.incarnation };
-        let gives = set.incarnation;
-        Proposer { set, ballot, ask: 0, floor: Term::default(), job: None, outcome: None, last: None, gives }
+    /// Creates an idle proposer.
+    pub fn new(config: ProposerConfig) -> Proposer {
+        let ballot = Ballot { round: 0, proposer: config.incarnation };
+        let return_holder = config.incarnation;
+        Proposer {
+            config,
+            ballot,
+            request_id: 0,
+            highest_term: Term::default(),
+            proposal: None,
+            outcome: None,
+            last_committed: None,
+            return_holder,
+        }
     }
 
-    /// From now on it gives back the permits of that life, an earlier one of this very front that is over and
-    /// uses none any more; its own life's again with `None`. Its tries and asks are its own in either case: those
-    /// of the earlier life may be on their way still.
+    /// Sets the incarnation whose permits later [`Change::ReturnPermit`] requests return: an earlier incarnation
+    /// of this front, which has ended and uses no permit any more, or this one for `None`. Ballots and request
+    /// ids stay those of this incarnation, because messages of the earlier one may still be in flight.
     pub fn return_permits_of(&mut self, earlier: Option<u64>) {
-        self.gives = earlier.unwrap_or(self.set.incarnation);
+        self.return_holder = earlier.unwrap_or(self.config.incarnation);
     }
 
-    /// Asks for a change; `false`: one is under way, or the lease is too long.
+    /// Submits a change. Returns `false` if one is in progress already or the lease is too long.
     pub fn submit(&mut self, now: Duration, change: Change) -> bool {
         let lease = match change {
             Change::Grant { lease_ms, .. }
@@ -65,138 +80,156 @@
             | Change::DriveRelease { lease_ms, .. } => lease_ms,
             _ => 0,
         };
-        if self.job.is_some() || Duration::from_millis(lease.into()) > self.set.max_lease {
+        if self.proposal.is_some() || Duration::from_millis(lease.into()) > self.config.max_lease {
             return false;
         }
-        self.ask = self.ask.wrapping_add(1);
-        let phase = Phase::Waiting(now);
-        let job = Job { change, begun: now, tries: 0, asked: now, again: now, may_be: false, phase };
-        (self.job, self.outcome) = (Some(job), None);
+        self.request_id = self.request_id.wrapping_add(1);
+        let phase = Phase::BackingOff(now);
+        let proposal = Proposal {
+            change,
+            submitted_at: now,
+            attempts: 0,
+            attempt_started_at: now,
+            resend_at: now,
+            value_sent: false,
+            phase,
+        };
+        (self.proposal, self.outcome) = (Some(proposal), None);
         true
     }
 
-    /// A term that somebody has seen: terms rise past it even where a majority of the witnesses has forgotten
-    /// it.
+    /// Records a term that another process has seen, so that terms keep rising even if a majority of the
+    /// witnesses has forgotten it.
     pub fn observe_term(&mut self, term: Term) {
-        self.floor = self.floor.max(term);
+        self.highest_term = self.highest_term.max(term);
     }
 
-    /// Whether a change is under way.
+    /// Returns whether a change is in progress.
     pub fn is_busy(&self) -> bool {
-        self.job.is_some()
+        self.proposal.is_some()
     }
 
-    /// How the last change ended; once.
+    /// Takes the outcome of the last change. Each outcome is returned once.
     pub fn take_outcome(&mut self) -> Option<Outcome> {
         self.outcome.take()
     }
 
-    /// When [`Asker::due`] is next due.
+    /// Time at which [`Proposer::handle_timeout`] must be called next, if a change is in progress.
     pub fn next_timeout(&self) -> Option<Duration> {
-        let job = self.job.as_ref()?;
-        Some(match job.phase {
-            Phase::Waiting(until) => until,
-            _ => job.again.min(job.asked + ROUND_TIMEOUT),
+        let proposal = self.proposal.as_ref()?;
+        Some(match proposal.phase {
+            Phase::BackingOff(until) => until,
+            _ => proposal.resend_at.min(proposal.attempt_started_at + ROUND_TIMEOUT),
         })
     }
 
-    /// Does what is due: words to witnesses.
-    pub fn handle_timeout(&mut self, now: Duration) -> Words {
-        let Some(job) = &mut self.job else { return Words::new() };
-        match &job.phase {
-            Phase::Waiting(until) if now < *until => Words::new(),
-            Phase::Waiting(_) => {
-                job.tries += 1;
-                (job.asked, job.again) = (now, now + AGAIN);
-                job.phase = Phase::Preparing(BTreeMap::new());
+    /// Starts, resends or ends an attempt if its time has come, and returns the messages to send.
+    pub fn handle_timeout(&mut self, now: Duration) -> OutgoingMessages {
+        let Some(proposal) = &mut self.proposal else { return OutgoingMessages::new() };
+        match &proposal.phase {
+            Phase::BackingOff(until) if now < *until => OutgoingMessages::new(),
+            Phase::BackingOff(_) => {
+                proposal.attempts += 1;
+                (proposal.attempt_started_at, proposal.resend_at) = (now, now + RESEND_INTERVAL);
+                proposal.phase = Phase::Preparing(BTreeMap::new());
                 self.ballot.round = self.ballot.round.saturating_add(1);
-                self.words()
+                self.pending_messages()
             }
-            _ if now >= job.asked + ROUND_TIMEOUT => {
-                self.try_later(now);
-                Words::new()
+            _ if now >= proposal.attempt_started_at + ROUND_TIMEOUT => {
+                self.retry_later(now);
+                OutgoingMessages::new()
             }
-            _ if now >= job.again => {
-                job.again = now + AGAIN;
-                self.words()
+            _ if now >= proposal.resend_at => {
+                proposal.resend_at = now + RESEND_INTERVAL;
+                self.pending_messages()
             }
-            _ => Words::new(),
+            _ => OutgoingMessages::new(),
         }
     }
 
-    /// What is to be said to each witness that has not answered.
-    pub(crate) fn words(&self) -> Words {
-        let (ballot, reply_to) = (self.ballot, self.set.address);
-        match self.job.as_ref().map(|j| &j.phase) {
-            Some(Phase::Preparing(heard)) => {
-                let others = self.set.witnesses.iter().filter(|w| !heard.contains_key(w));
+    /// Messages of the current phase to all witnesses that have not responded.
+    pub(crate) fn pending_messages(&self) -> OutgoingMessages {
+        let (ballot, reply_to) = (self.ballot, self.config.address);
+        match self.proposal.as_ref().map(|p| &p.phase) {
+            Some(Phase::Preparing(promises)) => {
+                let others = self.config.witnesses.iter().filter(|w| !promises.contains_key(w));
                 others.map(|w| (*w, Message::Prepare { ballot, reply_to })).collect()
             }
-            Some(Phase::Accepting { value, lives, took }) => {
-                let others = lives.iter().filter(|(w, _)| !took.contains(w));
+            Some(Phase::Accepting { value, incarnations, accepted_by }) => {
+                let others = incarnations.iter().filter(|(w, _)| !accepted_by.contains(w));
                 let accept =
                     |incarnation| Message::Accept { ballot, reply_to, incarnation, value: value.clone() };
                 others.map(|(w, incarnation)| (*w, accept(*incarnation))).collect()
             }
-            _ => Words::new(),
+            _ => OutgoingMessages::new(),
         }
     }
 
-    /// A later try, after a wait that differs by asker.
-    fn try_later(&mut self, now: Duration) {
-        let Some(job) = &mut self.job else { return };
-        if job.tries >= MAX_ATTEMPTS {
-            let outcome = if job.may_be { Outcome::Unknown } else { Outcome::NoQuorum };
-            return self.end(outcome);
+    /// Schedules the next attempt after a backoff that differs between proposers, or ends the change if no
+    /// attempt is left.
+    fn retry_later(&mut self, now: Duration) {
+        let Some(proposal) = &mut self.proposal else { return };
+        if proposal.attempts >= MAX_ATTEMPTS {
+            let outcome = if proposal.value_sent { Outcome::Unknown } else { Outcome::NoQuorum };
+            return self.finish(outcome);
         }
-        job.phase = Phase::Waiting(now + job.wait(self.set.backoff_seed ^ mix(self.ballot.round)));
+        proposal.phase =
+            Phase::BackingOff(now + proposal.backoff(self.config.backoff_seed ^ mix_bits(self.ballot.round)));
     }
 
-    pub(crate) fn end(&mut self, outcome: Outcome) {
-        (self.job, self.outcome) = (None, Some(outcome));
+    /// Ends the change in progress.
+    pub(crate) fn finish(&mut self, outcome: Outcome) {
+        (self.proposal, self.outcome) = (None, Some(outcome));
     }
 
-    /// A witness's word; `seen`: what the change is judged by, where it comes to that now.
-    pub fn handle_message(&mut self, now: Duration, word: Message, seen: GrantContext<'_>) -> Words {
-        match word {
-            Message::Promise {
-                ballot,
-                witness,
-                incarnation: life,
-                accepted: taken,
-                expired_leases: lapsed,
-                memory: sight,
-            } => {
-                let promised = Promised { life, taken, lapsed, sight };
-                self.promised(now, ballot, witness, promised, seen)
+    /// Handles a response of an acceptor and returns the messages to send. `context` is what a grant is checked
+    /// against when a majority has promised.
+    pub fn handle_message(
+        &mut self,
+        now: Duration,
+        message: Message,
+        context: GrantContext<'_>,
+    ) -> OutgoingMessages {
+        match message {
+            Message::Promise { ballot, witness, incarnation, accepted, expired_leases, memory } => {
+                let promise = ReceivedPromise { incarnation, accepted, expired_leases, memory };
+                self.handle_promise(now, ballot, witness, promise, context)
             }
-            Message::Accepted { ballot, witness, memory: sight } => {
-                self.accepted(ballot, witness, sight);
-                Words::new()
+            Message::Accepted { ballot, witness, memory } => {
+                self.handle_accepted(ballot, witness, memory);
+                OutgoingMessages::new()
             }
             Message::Rejected { ballot, promised, .. } => {
-                if ballot == self.ballot && self.job.as_ref().is_some_and(Job::is_on) {
+                if ballot == self.ballot && self.proposal.as_ref().is_some_and(Proposal::is_active) {
                     self.ballot.round = self.ballot.round.max(promised.round);
-                    self.try_later(now);
+                    self.retry_later(now);
                 }
-                Words::new()
+                OutgoingMessages::new()
             }
-            Message::Prepare { .. } | Message::Accept { .. } => Words::new(),
+            Message::Prepare { .. } | Message::Accept { .. } => OutgoingMessages::new(),
         }
     }
 
+    /// Checks the invariants of the proposer and of the value that it proposes.
+    ///
     /// # Errors
-    /// An invariant that does not hold.
+    /// The first invariant that does not hold.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
-        let is = |good, what| ensure(good, "asker", self.set.incarnation, what);
-        is(self.ballot.proposer == self.set.incarnation, "its tries are its own")?;
-        let Some(job) = &self.job else { return Ok(()) };
-        is(job.tries <= MAX_ATTEMPTS, "no more tries than are given")?;
-        is(job.begun <= job.asked, "a lease runs from before its first question")?;
-        if let Phase::Accepting { value, lives, took } = &job.phase {
-            is(took.len() < self.majority(), "what a majority took is done")?;
-            is(took.iter().all(|w| lives.contains_key(w)), "only who promised takes")?;
-            is(value.longest_lease() <= self.set.max_lease, "no lease longer than witnesses wait")?;
+        let is = |good, what| ensure(good, "proposer", self.config.incarnation, what);
+        is(self.ballot.proposer == self.config.incarnation, "ballots name this incarnation")?;
+        let Some(proposal) = &self.proposal else { return Ok(()) };
+        is(proposal.attempts <= MAX_ATTEMPTS, "no more attempts than the maximum")?;
+        is(
+            proposal.submitted_at <= proposal.attempt_started_at,
+            "a lease runs from before its first prepare message",
+        )?;
+        if let Phase::Accepting { value, incarnations, accepted_by } = &proposal.phase {
+            is(accepted_by.len() < self.majority(), "a value that a majority accepted is committed")?;
+            is(
+                accepted_by.iter().all(|w| incarnations.contains_key(w)),
+                "only acceptors that promised accept",
+            )?;
+            is(value.longest_lease() <= self.config.max_lease, "no lease is longer than the maximum")?;
             value.check_invariants()?;
         }
         Ok(())
--- a/crates/out/src/report.rs
+++ b/crates/out/src/report.rs
@@ -1,4 +1,4 @@
-//! What fronts say of themselves to a driver, and what it has done.
+//! Reports of the fronts to a driver, and the actions of a driver.
 
 use crate::change::Change;
 use crate::halt_detector::Tally;
@@ -6,62 +6,62 @@
 use crate::types::{Place, Term};
 use std::time::Duration;
 
-/// Most fronts that a driver takes reports of; of more it takes those of the lowest names.
+/// Maximum number of fronts whose reports a driver uses; of more, it uses those with the lowest names.
 pub const MAX_REPORTS: usize = 4_096;
 
-/// Whether a front is out.
+/// Service state of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ServiceState {
-    /// It serves.
+    /// In service.
     Serving,
-    /// It goes, is out or warms, by a permit.
+    /// Draining, out of service or warming up under a permit.
     OutByPermit,
-    /// The platform or an operator told it to: the release waits for it.
+    /// Ordered out of service by the platform or an operator. A release waits for such a front.
     OutByOrder,
 }
 
-/// What a front says of itself.
+/// Report of a front about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FrontReport {
-    /// Where it stands.
+    /// Location of the front.
     pub place: Place,
-    /// When it was last heard of, on the driver's clock.
+    /// Time of receipt on the driver's clock.
     pub received_at: Duration,
-    /// What it runs, as [`What::target`] names it.
+    /// Version that the front runs, as named by [`crate::ReleaseTarget::version_id`].
     pub running: u64,
-    /// The newest text that is staged and checked there.
+    /// Newest text that the front has staged and checked.
     pub newest_staged: Generation,
-    /// A text did not pass its checks there.
+    /// True if a text failed its checks at the front.
     pub staging_failed: bool,
-    /// Whether it is out.
+    /// Service state of the front.
     pub service_state: ServiceState,
-    /// It has an order to go that it has not followed to its end.
+    /// True if the front has an order to restart that it has not completed.
     pub restart_pending: bool,
-    /// How long it has waited for a permit.
+    /// Time for which the front has been waiting for a permit; `None` if it is not waiting.
     pub permit_wait: Option<Duration>,
-    /// Restarts that failed, in a row.
+    /// Number of consecutive failed restarts.
     pub failed_restarts: u16,
-    /// A rule's checker, or an invariant, has failed there.
+    /// True if a rule checker or an invariant has failed at the front.
     pub rule_violated: bool,
-    /// Paid requests, since it started.
+    /// Paid requests since the start of the process.
     pub paid: Tally,
-    /// The highest fence that it has seen.
+    /// Highest fencing token that the front has seen.
     pub fence: Term,
 }
 
-/// What is to be done.
+/// Action that the caller performs for a driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DriverAction {
-    /// Ask the witnesses; how that ended goes to [`Driver::told`].
+    /// Submit a change to the witnesses and pass its outcome to [`crate::Driver::handle_outcome`].
     Submit(Change),
-    /// Tell a front.
+    /// Send an order to the front of that name.
     Send(u64, FencedOrder),
 }
 
-/// Who does worst has the highest: rules first, then failed restarts, then paid requests that were not
-/// served.
-pub(crate) fn does_worse(r: &FrontReport) -> u64 {
-    let not_served = u64::from(r.paid.requested.saturating_sub(r.paid.served)) * 1_000;
-    let share = not_served.checked_div(r.paid.requested.into()).unwrap_or(0);
-    u64::from(r.rule_violated) << 32 | u64::from(r.failed_restarts) << 16 | share
+/// Severity of a front's failures: rule violations first, then failed restarts, then the share of paid requests
+/// that were not served (in thousandths).
+pub(crate) fn failure_severity(report: &FrontReport) -> u64 {
+    let not_served = u64::from(report.paid.requested.saturating_sub(report.paid.served)) * 1_000;
+    let share = not_served.checked_div(report.paid.requested.into()).unwrap_or(0);
+    u64::from(report.rule_violated) << 32 | u64::from(report.failed_restarts) << 16 | share
 }
--- a/crates/out/src/responses.rs
+++ b/crates/out/src/responses.rs
@@ -1,95 +1,112 @@
-//! A front's side: what it makes of witnesses' answers.
+//! Proposer side of the register: responses of the acceptors.
 
 use crate::change::Change;
 use crate::limits::GrantContext;
 use crate::message::Message;
-use crate::proposal::{Outcome, Phase, Promised, AGAIN};
-use crate::proposer::{Proposer, Words};
+use crate::proposal::{Outcome, Phase, ReceivedPromise, RESEND_INTERVAL};
+use crate::proposer::{OutgoingMessages, Proposer};
 use crate::types::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 impl Proposer {
+    /// Number of witnesses that form a quorum.
     pub(crate) fn majority(&self) -> usize {
-        self.set.witnesses.len() / 2 + 1
+        self.config.witnesses.len() / 2 + 1
     }
 
-    pub(crate) fn promised(
+    /// Collects a promise. Once a quorum has promised, applies the change to the newest accepted value and
+    /// proposes the result.
+    pub(crate) fn handle_promise(
         &mut self,
         now: Duration,
-        of: Ballot,
-        by: SocketAddr,
-        said: Promised,
-        seen: GrantContext<'_>,
-    ) -> Words {
-        let (majority, all) = (self.majority(), self.set.witnesses.len());
-        let known = self.set.witnesses.contains(&by);
-        if let Some((ballot, asked, value)) = self.last.as_ref().filter(|l| l.0 == of && known) {
-            // One that forgot and answers last comes to see again by it.
-            let late = said.sight == MemoryState::WaitedOut && now < *asked + ROUND_TIMEOUT;
-            let (ballot, reply_to, incarnation) = (*ballot, self.set.address, said.life);
-            let accept = || (by, Message::Accept { ballot, reply_to, incarnation, value: value.clone() });
-            return late.then(accept).into_iter().collect();
+        ballot: Ballot,
+        witness: SocketAddr,
+        promise: ReceivedPromise,
+        context: GrantContext<'_>,
+    ) -> OutgoingMessages {
+        let (majority, all) = (self.majority(), self.config.witnesses.len());
+        let known = self.config.witnesses.contains(&witness);
+        if let Some((ballot, started_at, value)) =
+            self.last_committed.as_ref().filter(|last| last.0 == ballot && known)
+        {
+            // An acceptor that lost its state and promised last becomes current by accepting the value.
+            let needs_value = promise.memory == MemoryState::WaitedOut && now < *started_at + ROUND_TIMEOUT;
+            let (ballot, reply_to, incarnation) = (*ballot, self.config.address, promise.incarnation);
+            let accept =
+                || (witness, Message::Accept { ballot, reply_to, incarnation, value: value.clone() });
+            return needs_value.then(accept).into_iter().collect();
         }
-        let Some(job) = &mut self.job else { return Words::new() };
-        // Guards against promises of a witness that has forgotten them since.
-        let in_time = now < job.asked + ROUND_TIMEOUT;
-        if of != self.ballot || !known || !in_time {
-            return Words::new();
+        let Some(proposal) = &mut self.proposal else { return OutgoingMessages::new() };
+        // An acceptor may have forgotten an older promise since it sent it.
+        let in_time = now < proposal.attempt_started_at + ROUND_TIMEOUT;
+        if ballot != self.ballot || !known || !in_time {
+            return OutgoingMessages::new();
         }
-        let heard = match &mut job.phase {
-            Phase::Preparing(heard) => heard,
-            // It comes after a majority: it takes the value all the same, and one that forgot comes to see again.
-            Phase::Accepting { value, lives, .. } if !lives.contains_key(&by) => {
-                lives.insert(by, said.life);
-                let (reply_to, value) = (self.set.address, value.clone());
-                return vec![(by, Message::Accept { ballot: of, reply_to, incarnation: said.life, value })];
+        let promises = match &mut proposal.phase {
+            Phase::Preparing(promises) => promises,
+            // A promise that comes after the quorum: the acceptor gets the value too, and one that lost its state
+            // becomes current by accepting it.
+            Phase::Accepting { value, incarnations, .. } if !incarnations.contains_key(&witness) => {
+                incarnations.insert(witness, promise.incarnation);
+                let (reply_to, value) = (self.config.address, value.clone());
+                return vec![(
+                    witness,
+                    Message::Accept { ballot, reply_to, incarnation: promise.incarnation, value },
+                )];
             }
-            _ => return Words::new(),
+            _ => return OutgoingMessages::new(),
         };
-        heard.insert(by, said);
-        let seeing = heard.values().filter(|p| p.sight == MemoryState::Current).count();
-        let waited = heard.values().filter(|p| p.sight != MemoryState::Recovering).count();
-        if seeing < majority && waited < all {
-            return Words::new();
+        promises.insert(witness, promise);
+        let current = promises.values().filter(|p| p.memory == MemoryState::Current).count();
+        let recovered = promises.values().filter(|p| p.memory != MemoryState::Recovering).count();
+        if current < majority && recovered < all {
+            return OutgoingMessages::new();
         }
-        let heard = std::mem::take(heard);
-        let taken =
-            heard.values().filter(|p| p.sight != MemoryState::Recovering).filter_map(|p| p.taken.as_ref());
-        let mut value = taken.max_by_key(|t| t.0).map(|t| t.1.clone()).unwrap_or_default();
-        value.term = value.term.max(self.floor);
-        let lapsed = heard.values().flat_map(Promised::over).collect();
-        value.remove_expired(&lapsed);
-        let me = if let Change::ReturnPermit { .. } = job.change { self.gives } else { self.set.incarnation };
-        if let Err(why) = value.apply((me, self.ask), &job.change, &lapsed, seen) {
-            // A value of an earlier try may still get through.
-            let outcome = if job.may_be { Outcome::Unknown } else { Outcome::Denied(why) };
-            self.end(outcome);
-            return Words::new();
+        let promises = std::mem::take(promises);
+        let accepted = promises
+            .values()
+            .filter(|p| p.memory != MemoryState::Recovering)
+            .filter_map(|p| p.accepted.as_ref());
+        let mut value = accepted.max_by_key(|a| a.0).map(|a| a.1.clone()).unwrap_or_default();
+        value.term = value.term.max(self.highest_term);
+        let expired = promises.values().flat_map(ReceivedPromise::expired_lease_ids).collect();
+        value.remove_expired(&expired);
+        let holder = if let Change::ReturnPermit { .. } = proposal.change {
+            self.return_holder
+        } else {
+            self.config.incarnation
+        };
+        if let Err(reason) = value.apply((holder, self.request_id), &proposal.change, &expired, context) {
+            // The value of an earlier attempt may still be accepted by a majority.
+            let outcome = if proposal.value_sent { Outcome::Unknown } else { Outcome::Denied(reason) };
+            self.finish(outcome);
+            return OutgoingMessages::new();
         }
-        let lives = heard.iter().map(|(w, p)| (*w, p.life)).collect();
-        job.phase = Phase::Accepting { value, lives, took: BTreeSet::new() };
-        (job.may_be, job.again) = (true, now + AGAIN);
-        self.words()
+        let incarnations = promises.iter().map(|(w, p)| (*w, p.incarnation)).collect();
+        proposal.phase = Phase::Accepting { value, incarnations, accepted_by: BTreeSet::new() };
+        (proposal.value_sent, proposal.resend_at) = (true, now + RESEND_INTERVAL);
+        self.pending_messages()
     }
 
-    pub(crate) fn accepted(&mut self, of: Ballot, by: SocketAddr, sight: MemoryState) {
+    /// Counts an acceptance. Once a majority has accepted, the change is committed.
+    pub(crate) fn handle_accepted(&mut self, ballot: Ballot, witness: SocketAddr, memory: MemoryState) {
         let majority = self.majority();
-        let Some(job) = &mut self.job else { return };
-        let Phase::Accepting { value, lives, took } = &mut job.phase else { return };
-        if of != self.ballot || sight != MemoryState::Current || !lives.contains_key(&by) {
+        let Some(proposal) = &mut self.proposal else { return };
+        let Phase::Accepting { value, incarnations, accepted_by } = &mut proposal.phase else { return };
+        if ballot != self.ballot || memory != MemoryState::Current || !incarnations.contains_key(&witness) {
             return;
         }
-        took.insert(by);
-        if took.len() < majority {
+        accepted_by.insert(witness);
+        if accepted_by.len() < majority {
             return;
         }
         let value = value.clone();
-        let granted = job.granted(self.set.incarnation, self.ask, &value);
-        self.last = Some((of, job.asked, value.clone()));
-        self.floor = self.floor.max(value.term);
-        let outcome = Outcome::Committed(value, granted);
-        self.end(outcome);
+        let lease = proposal.granted_lease(self.config.incarnation, self.request_id, &value);
+        self.last_committed = Some((ballot, proposal.attempt_started_at, value.clone()));
+        self.highest_term = self.highest_term.max(value.term);
+        let outcome = Outcome::Committed(value, lease);
+        self.finish(outcome);
     }
 }
--- a/crates/out/src/rollout.rs
+++ b/crates/out/src/rollout.rs
@@ -1,66 +1,72 @@
-//! What a driver does next, by the record and the fronts' reports.
+//! Next actions of a driver, derived from the release record and the fronts' reports.
 
 use crate::change::Change;
 use crate::driver::Driver;
 use crate::limits::FleetView;
 use crate::release::{ReleaseEvent, ReleaseTarget};
-use crate::report::{does_worse, DriverAction, FrontReport, ServiceState, MAX_REPORTS};
+use crate::report::{failure_severity, DriverAction, FrontReport, ServiceState, MAX_REPORTS};
 use crate::staged_config::{FencedOrder, Generation, Order};
 use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An order that shows nothing is given again after so long.
-const AGAIN: Duration = Duration::from_secs(2);
+/// Interval after which an order is sent again if the front's report shows no effect.
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Driver {
-    pub(crate) fn go_on(
+    /// Sends the orders of the current stage and returns the change that ends the stage, if it has ended.
+    pub(crate) fn advance(
         &mut self,
         now: Duration,
-        r: ReleaseRecord,
+        record: ReleaseRecord,
         reports: &BTreeMap<u64, FrontReport>,
-        world: &FleetView,
-        out: &mut Vec<DriverAction>,
+        fleet: &FleetView,
+        actions: &mut Vec<DriverAction>,
     ) -> Option<Change> {
         let silent = reports.iter().filter(|(_, f)| now.saturating_sub(f.received_at) > self.silent_after);
         let silent: BTreeSet<u64> = silent.map(|(n, _)| *n).collect();
-        let here: BTreeMap<u64, FrontReport> =
+        let reporting: BTreeMap<u64, FrontReport> =
             reports.iter().filter(|(n, _)| !silent.contains(n)).map(|(n, f)| (*n, *f)).collect();
-        let cause = self.halts.halt_cause(&self.plan, reports, &silent, world.uncertain_for);
-        let going = matches!(r.stage, Stage::Canary | Stage::Wave(_) | Stage::Observed(_) | Stage::Forecast);
-        if let Some(cause) = cause.filter(|_| going) {
-            return Some(Change::HaltRelease { number: r.number, cause });
+        let cause = self.halt_detector.halt_cause(&self.plan, reports, &silent, fleet.uncertain_for);
+        let may_halt =
+            matches!(record.stage, Stage::Canary | Stage::Wave(_) | Stage::Observed(_) | Stage::Forecast);
+        if let Some(cause) = cause.filter(|_| may_halt) {
+            return Some(Change::HaltRelease { number: record.number, cause });
         }
-        let event = match r.stage {
-            Stage::Planned => match self.foretold {
+        let event = match record.stage {
+            Stage::Planned => match self.forecast_allows {
                 Some(true) => ReleaseEvent::ForecastAllowed,
                 Some(false) => ReleaseEvent::Halt(HaltCause::Forecast),
                 None => return None,
             },
-            Stage::Forecast => self.stage_all(now, r, &here, out).then_some(ReleaseEvent::Staged)?,
-            Stage::Canary | Stage::Wave(_) => {
-                self.send(now, r, &here, reports, out).then_some(ReleaseEvent::WaveCompleted)?
+            Stage::Forecast => {
+                self.stage_everywhere(now, record, &reporting, actions).then_some(ReleaseEvent::Staged)?
             }
+            Stage::Canary | Stage::Wave(_) => self
+                .roll_out(now, record, &reporting, reports, actions)
+                .then_some(ReleaseEvent::WaveCompleted)?,
             Stage::RollingBack => {
-                let staged = self.stage_all(now, r, &here, out);
-                (staged && self.send(now, r, &here, reports, out)).then_some(ReleaseEvent::WaveCompleted)?
+                let staged = self.stage_everywhere(now, record, &reporting, actions);
+                (staged && self.roll_out(now, record, &reporting, reports, actions))
+                    .then_some(ReleaseEvent::WaveCompleted)?
             }
             Stage::Observed(_) => {
-                let watch = Duration::from_millis(self.plan.observation_ms.into());
-                (now >= self.since + watch).then_some(ReleaseEvent::ObservationPassed)?
+                let observation = Duration::from_millis(self.plan.observation_ms.into());
+                (now >= self.stage_since + observation).then_some(ReleaseEvent::ObservationPassed)?
             }
             Stage::Halted(_) => {
-                for name in here.iter().filter(|(_, f)| f.restart_pending).map(|(n, _)| *n) {
-                    self.act(now, r, name, Order::Hold, out);
+                for name in reporting.iter().filter(|(_, f)| f.restart_pending).map(|(n, _)| *n) {
+                    self.send_order(now, record, name, Order::Hold, actions);
                 }
                 return None;
             }
             Stage::Done | Stage::RolledBack => return None,
         };
         let last_wave = self.plan.last_wave();
-        Some(Change::AdvanceRelease { fence: r.fence, from: r.stage, event, last_wave })
+        Some(Change::AdvanceRelease { fence: record.fence, from: record.stage, event, last_wave })
     }
 
+    /// Text that the release stages; `None` for a build.
     fn generation(&self) -> Option<Generation> {
         match self.plan.target {
             ReleaseTarget::Build { .. } => None,
@@ -70,46 +76,53 @@
         }
     }
 
-    /// Stages a text at all that are here; whether it is.
-    fn stage_all(
+    /// Orders all reporting fronts to stage the text. Returns whether all have staged it.
+    fn stage_everywhere(
         &mut self,
         now: Duration,
-        r: ReleaseRecord,
-        here: &BTreeMap<u64, FrontReport>,
-        out: &mut Vec<DriverAction>,
+        record: ReleaseRecord,
+        reporting: &BTreeMap<u64, FrontReport>,
+        actions: &mut Vec<DriverAction>,
     ) -> bool {
-        let Some(g) = self.generation() else { return true };
-        let missing: Vec<u64> = here.iter().filter(|(_, f)| f.newest_staged != g).map(|(n, _)| *n).collect();
-        missing.iter().for_each(|name| self.act(now, r, *name, Order::Stage(g), out));
+        let Some(generation) = self.generation() else { return true };
+        let missing: Vec<u64> =
+            reporting.iter().filter(|(_, f)| f.newest_staged != generation).map(|(n, _)| *n).collect();
+        missing
+            .iter()
+            .for_each(|name| self.send_order(now, record, *name, Order::Stage(generation), actions));
         missing.is_empty()
     }
 
-    /// Sends whoever is to go and has not; whether all have gone and are back.
-    fn send(
+    /// Orders the fronts of the current stage that do not run the target yet to change to it. Returns whether all
+    /// run it and are in service again.
+    fn roll_out(
         &mut self,
         now: Duration,
-        r: ReleaseRecord,
-        here: &BTreeMap<u64, FrontReport>,
+        record: ReleaseRecord,
+        reporting: &BTreeMap<u64, FrontReport>,
         all: &BTreeMap<u64, FrontReport>,
-        out: &mut Vec<DriverAction>,
+        actions: &mut Vec<DriverAction>,
     ) -> bool {
         let fleet: BTreeMap<u64, Place> = all.iter().map(|(n, f)| (*n, f.place)).collect();
-        let targets = self.plan.fronts_at(r.stage, &fleet);
-        let worse = |name: u64| here.get(&name).map_or(0, does_worse);
-        let order: Vec<u64> =
-            self.plan.rollout_order(&fleet, worse).into_iter().filter(|n| targets.contains(n)).collect();
+        let wave = self.plan.fronts_at(record.stage, &fleet);
+        let severity = |name: u64| reporting.get(&name).map_or(0, failure_severity);
+        let rollout_order: Vec<u64> =
+            self.plan.rollout_order(&fleet, severity).into_iter().filter(|n| wave.contains(n)).collect();
         let target = self.plan.target.version_id();
-        let here = |name: &u64| here.get(name);
-        let pending: Vec<u64> =
-            order.iter().filter(|n| here(n).is_some_and(|f| f.running != target)).copied().collect();
-        let away = order
+        let report = |name: &u64| reporting.get(name);
+        let pending: Vec<u64> = rollout_order
+            .iter()
+            .filter(|n| report(n).is_some_and(|f| f.running != target))
+            .copied()
+            .collect();
+        let any_out = rollout_order
             .iter()
-            .filter_map(here)
+            .filter_map(report)
             .any(|f| f.service_state != ServiceState::Serving || f.restart_pending);
         if pending.is_empty() {
-            return !away;
+            return !any_out;
         }
-        // Whoever was told to stop by others goes first; nobody is sent meanwhile.
+        // A front that others have ordered to stop has precedence: the release waits for it.
         if all.values().any(|f| f.service_state == ServiceState::OutByOrder) {
             return false;
         }
@@ -117,19 +130,31 @@
             (ReleaseTarget::Build { build_id }, _) => {
                 (self.plan.limits.fronts.fleet.into(), Order::Restart { build_id })
             }
-            (_, Some(g)) => (MAX_REPORTS, Order::Activate(g)),
+            (_, Some(generation)) => (MAX_REPORTS, Order::Activate(generation)),
             (_, None) => return false,
         };
-        pending.into_iter().take(at_once).for_each(|name| self.act(now, r, name, order, out));
+        pending.into_iter().take(at_once).for_each(|name| self.send_order(now, record, name, order, actions));
         false
     }
 
-    fn act(&mut self, now: Duration, r: ReleaseRecord, name: u64, order: Order, out: &mut Vec<DriverAction>) {
-        let act = FencedOrder { fence: r.fence, release: r.number, order };
-        if self.acted.get(&name).is_some_and(|(last, at)| *last == act && now < *at + AGAIN) {
+    /// Sends an order to a front, unless the same one was sent within the resend interval.
+    fn send_order(
+        &mut self,
+        now: Duration,
+        record: ReleaseRecord,
+        name: u64,
+        order: Order,
+        actions: &mut Vec<DriverAction>,
+    ) {
+        let fenced = FencedOrder { fence: record.fence, release: record.number, order };
+        if self
+            .sent_orders
+            .get(&name)
+            .is_some_and(|(last, sent_at)| *last == fenced && now < *sent_at + RESEND_INTERVAL)
+        {
             return;
         }
-        self.acted.insert(name, (act, now));
-        out.push(DriverAction::Send(name, act));
+        self.sent_orders.insert(name, (fenced, now));
+        actions.push(DriverAction::Send(name, fenced));
     }
 }
--- a/crates/out/src/staged_config.rs
+++ b/crates/out/src/staged_config.rs
@@ -1,259 +1,281 @@
-//! A front's side of settings and layouts: staged, checked, then taken whole at a step boundary.
+//! Settings and layouts at a front: staged, checked, then activated as a whole between two steps.
 
 use crate::types::{ensure, InvariantViolation, ReleaseRecord, Term};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most generations kept: the one that holds, those that sessions began with, those that were staged.
+/// Maximum number of generations retained: the active one, those that sessions started with, and staged ones.
 pub const MAX_GENERATIONS: usize = 8;
 
-/// One text of settings, or of the layout.
+/// Text of settings or of a layout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation {
-    /// Rises.
+    /// Increases with each new text.
     pub number: u64,
-    /// Of the text.
+    /// Digest of the text.
     pub digest: u64,
 }
 
-/// What a driver tells a front to do.
+/// Order of a driver to a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Order {
-    /// Fetch that text and check it.
+    /// Fetch the text and check it.
     Stage(Generation),
-    /// Take it at the next step boundary.
+    /// Activate the text between two steps.
     #[serde(rename = "Take")]
     Activate(Generation),
-    /// Ask for a permit, and restart into that build.
+    /// Request a permit and restart into the build.
     #[serde(rename = "Go")]
     Restart {
-        /// Its word.
+        /// Identifier of the build.
         #[serde(rename = "word")]
         build_id: u64,
     },
-    /// Do not go, if it has not gone; come back, if it is out.
+    /// Cancel a restart that has not begun; return to service if it has.
     Hold,
 }
 
-/// An order with the term of its driver's lease.
+/// Order with the fencing token of its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// The fence.
+    /// Term in which the driver took over the release.
     pub fence: Term,
-    /// The release.
+    /// Number of the release.
     pub release: u64,
-    /// What.
+    /// Order itself.
     pub order: Order,
 }
 
-/// Why an order was not followed.
+/// Reason why a front does not follow an order.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
 pub enum OrderError {
-    /// A later driver has spoken.
-    #[error("a later driver has spoken")]
+    /// The front has seen a later driver, whose fencing token is given.
+    #[error("order of an earlier driver")]
     #[serde(rename = "Fence")]
     StaleFence(Term),
-    /// That release is over here: a later one has come.
-    #[error("a later release has come")]
+    /// The front has seen a later release, whose number is given.
+    #[error("order of an earlier release")]
     #[serde(rename = "Over")]
     StaleRelease(u64),
-    /// It was not staged and checked.
-    #[error("not staged and checked")]
+    /// The text was not staged, or has not passed its checks.
+    #[error("text is not staged and checked")]
     NotStaged,
-    /// As many generations are in use as are kept.
+    /// All [`MAX_GENERATIONS`] generations are in use.
     #[error("too many generations in use")]
     #[serde(rename = "Full")]
     TooManyGenerations,
-    /// Older than what holds, or another text of the same number.
-    #[error("an older generation, or another text")]
+    /// The generation is older than the active one, or is another text with a known number.
+    #[error("generation is older than the active one, or differs from the text of the same number")]
     #[serde(rename = "Older")]
     StaleGeneration,
 }
 
+/// Retained text of one generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Text {
+    /// Digest of the text.
     digest: u64,
+    /// True once the text has been fetched and has passed its checks.
     checked: bool,
+    /// Number of sessions that started with the text and have not ended.
     sessions: u32,
 }
 
-/// A front's side.
+/// Staged and active texts of a front, and its pending restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StagedConfig {
-    me: u64,
+    /// Name of the front, as a number.
+    front: u64,
+    /// Highest fencing token seen.
     fence: Term,
+    /// Highest release number seen.
     release: u64,
-    now: Generation,
-    next: Option<Generation>,
-    go: Option<u64>,
+    /// Generation in use.
+    active: Generation,
+    /// Generation to activate between the next two steps.
+    pending: Option<Generation>,
+    /// Build to restart into.
+    restart_build: Option<u64>,
+    /// Retained texts, by generation number.
     texts: BTreeMap<u64, Text>,
 }
 
 impl StagedConfig {
-    /// A front of that name that starts under those.
-    pub fn new(me: u64, now: Generation) -> StagedConfig {
-        let text = Text { digest: now.digest, checked: true, sessions: 0 };
-        let texts = BTreeMap::from([(now.number, text)]);
-        StagedConfig { me, fence: Term::default(), release: 0, now, next: None, go: None, texts }
+    /// Creates the state of a front that starts with the given generation.
+    pub fn new(front: u64, active: Generation) -> StagedConfig {
+        let text = Text { digest: active.digest, checked: true, sessions: 0 };
+        let texts = BTreeMap::from([(active.number, text)]);
+        StagedConfig {
+            front,
+            fence: Term::default(),
+            release: 0,
+            active,
+            pending: None,
+            restart_build: None,
+            texts,
+        }
     }
 
-    /// A driver's order.
+    /// Follows an order of a driver.
     ///
     /// # Errors
-    /// It is not followed, and changed nothing.
-    pub fn handle_order(&mut self, act: FencedOrder) -> Result<(), OrderError> {
-        // Guards against a driver that stood still: what a later one did would be undone.
-        if act.fence < self.fence {
+    /// Reason why the order is not followed; it then has no effect.
+    pub fn handle_order(&mut self, fenced: FencedOrder) -> Result<(), OrderError> {
+        // An earlier driver that was suspended must not undo what a later one did.
+        if fenced.fence < self.fence {
             return Err(OrderError::StaleFence(self.fence));
         }
-        if act.release < self.release {
+        if fenced.release < self.release {
             return Err(OrderError::StaleRelease(self.release));
         }
-        match act.order {
-            Order::Stage(g) => self.stage(g)?,
-            Order::Activate(g) => self.take(g)?,
-            Order::Restart { build_id: word } => self.go = Some(word),
-            Order::Hold => (self.go, self.next) = (None, None),
+        match fenced.order {
+            Order::Stage(generation) => self.stage(generation)?,
+            Order::Activate(generation) => self.prepare_activation(generation)?,
+            Order::Restart { build_id } => self.restart_build = Some(build_id),
+            Order::Hold => (self.restart_build, self.pending) = (None, None),
         }
-        (self.fence, self.release) = (act.fence, act.release);
+        (self.fence, self.release) = (fenced.fence, fenced.release);
         Ok(())
     }
 
-    fn stage(&mut self, g: Generation) -> Result<(), OrderError> {
-        if let Some(text) = self.texts.get(&g.number) {
-            return if text.digest == g.digest { Ok(()) } else { Err(OrderError::StaleGeneration) };
+    fn stage(&mut self, generation: Generation) -> Result<(), OrderError> {
+        if let Some(text) = self.texts.get(&generation.number) {
+            return if text.digest == generation.digest { Ok(()) } else { Err(OrderError::StaleGeneration) };
         }
-        if g.number < self.now.number {
+        if generation.number < self.active.number {
             return Err(OrderError::StaleGeneration);
         }
-        self.forget();
+        self.drop_unused();
         if self.texts.len() >= MAX_GENERATIONS {
             return Err(OrderError::TooManyGenerations);
         }
-        self.texts.insert(g.number, Text { digest: g.digest, ..Text::default() });
+        self.texts.insert(generation.number, Text { digest: generation.digest, ..Text::default() });
         Ok(())
     }
 
-    fn take(&mut self, g: Generation) -> Result<(), OrderError> {
-        if g == self.now {
+    fn prepare_activation(&mut self, generation: Generation) -> Result<(), OrderError> {
+        if generation == self.active {
             return Ok(());
         }
-        if g.number <= self.now.number {
+        if generation.number <= self.active.number {
             return Err(OrderError::StaleGeneration);
         }
-        if !self.texts.get(&g.number).is_some_and(|t| t.checked && t.digest == g.digest) {
+        if !self.texts.get(&generation.number).is_some_and(|t| t.checked && t.digest == generation.digest) {
             return Err(OrderError::NotStaged);
         }
-        self.next = Some(g);
+        self.pending = Some(generation);
         Ok(())
     }
 
-    /// Texts that nobody can come to use any more go.
-    fn forget(&mut self) {
-        let (now, next) = (self.now.number, self.next.map(|g| g.number));
-        self.texts.retain(|n, t| *n >= now || t.sessions > 0 || Some(*n) == next);
-        // Of those that were staged and not taken the newest alone stays.
+    /// Drops texts that cannot be used any more.
+    fn drop_unused(&mut self) {
+        let (active, pending) = (self.active.number, self.pending.map(|g| g.number));
+        self.texts.retain(|n, t| *n >= active || t.sessions > 0 || Some(*n) == pending);
+        // Of the texts that are staged but not pending, only the newest is retained.
         let newest = self.texts.keys().next_back().copied();
-        self.texts.retain(|n, t| *n <= now || t.sessions > 0 || Some(*n) == next || Some(*n) == newest);
+        self.texts.retain(|n, t| *n <= active || t.sessions > 0 || Some(*n) == pending || Some(*n) == newest);
     }
 
-    /// A text that was to be staged: the first without one.
+    /// First generation whose text is to be staged and has not been fetched and checked.
     pub fn missing_text(&self) -> Option<Generation> {
         let text = self.texts.iter().find(|(_, t)| !t.checked);
         text.map(|(number, t)| Generation { number: *number, digest: t.digest })
     }
 
-    /// The text of that generation came. `digest`: as reckoned here; `good`: it can be read and passes all
-    /// checks. Whether it is staged.
-    pub fn receive_text(&mut self, number: u64, digest: u64, good: bool) -> bool {
+    /// Handles a fetched text: `digest` was computed here, and `valid` is true if the text can be parsed and
+    /// passes all checks. Returns whether the generation is staged and checked.
+    pub fn receive_text(&mut self, number: u64, digest: u64, valid: bool) -> bool {
         let Some(text) = self.texts.get_mut(&number) else { return false };
-        text.checked |= good && text.digest == digest;
+        text.checked |= valid && text.digest == digest;
         text.checked
     }
 
-    /// Between two steps: takes what is to be taken.
+    /// Activates the pending generation, if any. Call this between two steps only.
     pub fn activate_pending(&mut self) -> Option<Generation> {
-        let taken = self.next.take()?;
-        self.now = taken;
-        self.forget();
-        Some(taken)
+        let activated = self.pending.take()?;
+        self.active = activated;
+        self.drop_unused();
+        Some(activated)
     }
 
-    /// What a request is decided under, from one boundary to the next.
+    /// Generation in use for new requests.
     pub fn active(&self) -> Generation {
-        self.now
+        self.active
     }
 
-    /// A session begins: it keeps that generation to its end. `None`: more than can be counted.
+    /// Counts a new session, which keeps the active generation until it ends. Returns `None` if the count would
+    /// overflow.
     pub fn start_session(&mut self) -> Option<Generation> {
-        let text = self.texts.get_mut(&self.now.number)?;
+        let text = self.texts.get_mut(&self.active.number)?;
         text.sessions = text.sessions.checked_add(1)?;
-        Some(self.now)
+        Some(self.active)
     }
 
-    /// A session that began with that generation ends.
+    /// Counts the end of a session that started with the generation of that number.
     pub fn end_session(&mut self, number: u64) {
         if let Some(text) = self.texts.get_mut(&number) {
             text.sessions = text.sessions.saturating_sub(1);
         }
-        self.forget();
+        self.drop_unused();
     }
 
-    /// Whether that generation's text is here, for a session that began with it.
-    pub fn has_text(&self, g: Generation) -> bool {
-        self.texts.get(&g.number).is_some_and(|t| t.digest == g.digest && t.checked)
+    /// Returns whether the checked text of the generation is retained.
+    pub fn has_text(&self, generation: Generation) -> bool {
+        self.texts.get(&generation.number).is_some_and(|t| t.digest == generation.digest && t.checked)
     }
 
-    /// Somebody that was there says what holds now: one that was away stages it, and takes it once it is
-    /// checked.
+    /// Brings a front that was away up to the active generation of the fleet: stages it, and activates it once it
+    /// is checked.
     ///
     /// # Errors
-    /// As for an order.
-    pub fn catch_up(&mut self, fence: Term, release: u64, holds: Generation) -> Result<(), OrderError> {
-        if holds.number <= self.now.number && fence <= self.fence {
+    /// Same as [`StagedConfig::handle_order`].
+    pub fn catch_up(&mut self, fence: Term, release: u64, active: Generation) -> Result<(), OrderError> {
+        if active.number <= self.active.number && fence <= self.fence {
             return Ok(());
         }
-        self.handle_order(FencedOrder { fence, release, order: Order::Stage(holds) })?;
-        match self.handle_order(FencedOrder { fence, release, order: Order::Activate(holds) }) {
+        self.handle_order(FencedOrder { fence, release, order: Order::Stage(active) })?;
+        match self.handle_order(FencedOrder { fence, release, order: Order::Activate(active) }) {
             Err(OrderError::NotStaged) => Ok(()),
             other => other,
         }
     }
 
-    /// The release as the register has it: no order of an earlier driver is followed from now on. A front
-    /// that starts asks for it before it follows any.
+    /// Records the release in the register, so that orders of earlier drivers are refused. A front that starts
+    /// must do this before it follows any order.
     pub fn observe_release(&mut self, record: &ReleaseRecord) {
         self.fence = self.fence.max(record.fence);
         self.release = self.release.max(record.number);
     }
 
-    /// The build that it is to restart into, once it has a permit.
+    /// Build to restart into once the front has a permit.
     pub fn pending_restart(&self) -> Option<u64> {
-        self.go
+        self.restart_build
     }
 
-    /// The newest generation that is staged and checked.
+    /// Newest generation that is staged and checked.
     pub fn newest_staged(&self) -> Generation {
         let newest = self.texts.iter().rev().find(|(_, t)| t.checked);
-        newest.map_or(self.now, |(number, t)| Generation { number: *number, digest: t.digest })
+        newest.map_or(self.active, |(number, t)| Generation { number: *number, digest: t.digest })
     }
 
-    /// The highest fence seen.
+    /// Highest fencing token seen.
     pub fn fence(&self) -> Term {
         self.fence
     }
 
+    /// Checks the invariants of the front's texts.
+    ///
     /// # Errors
-    /// An invariant that does not hold.
+    /// The first invariant that does not hold.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
-        let is = |good, what| ensure(good, "staged", self.me, what);
-        is(self.texts.len() <= MAX_GENERATIONS, "no more generations than are kept")?;
-        is(self.has_text(self.now), "what holds is here and checked")?;
+        let is = |good, what| ensure(good, "staged config", self.front, what);
+        is(self.texts.len() <= MAX_GENERATIONS, "no more generations than the maximum")?;
+        is(self.has_text(self.active), "the text of the active generation is retained and checked")?;
         is(
-            self.next.is_none_or(|g| self.has_text(g) && g.number > self.now.number),
-            "what is next is checked",
+            self.pending.is_none_or(|g| self.has_text(g) && g.number > self.active.number),
+            "the pending generation is checked and newer than the active one",
         )
     }
 }
--- a/crates/out/src/types.rs
+++ b/crates/out/src/types.rs
@@ -1,37 +1,37 @@
-//! Names, and the register's value.
+//! Identifiers, leases, and the value of the register.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Most permits that the register holds: a word with the largest value fits into one datagram.
+/// Maximum number of permits in the register: a message with the largest value fits into one datagram.
 pub const MAX_PERMITS: usize = 20;
-/// A try's words count for so long: an asker uses promises no longer after its question went out, a witness
-/// takes a value no longer after its promise.
+/// Time for which the messages of one attempt are valid. A proposer ignores promises received later than this
+/// after its prepare message; an acceptor refuses to accept later than this after its promise.
 pub const ROUND_TIMEOUT: Duration = Duration::from_secs(2);
-/// What was done under a lease may be done so long after it at the most.
+/// Longest delay between an action taken under a lease and its effect.
 const MAX_EFFECT_DELAY: Duration = Duration::from_secs(2);
-/// Clocks may differ in pace by this part.
+/// Clock rates of two machines may differ by one part in this many.
 const CLOCK_DRIFT_DIVISOR: u32 = 10;
 
-/// How long a witness keeps what lasts for a lease: past its end by the holder's clock, whose pace may differ
-/// by a tenth, and by what is done late under it.
+/// Time for which a witness treats a lease as held: longer than the lease itself, because the holder's clock
+/// may run slower by a tenth and an effect of the lease may come late.
 pub fn hold_time(lease: Duration) -> Duration {
     lease + lease / CLOCK_DRIFT_DIVISOR + MAX_EFFECT_DELAY
 }
 
-/// An invariant does not hold: a fault of this crate.
+/// Failed check of an invariant, which means a bug in this crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{component} of {id:x}: {invariant}")]
 pub struct InvariantViolation {
-    /// Which state machine.
+    /// Name of the state machine.
     pub component: &'static str,
-    /// Whose: a life, a port, a term.
+    /// Which instance of it: an incarnation, a port or a term.
     pub id: u64,
-    /// Which invariant.
+    /// Statement that does not hold.
     pub invariant: &'static str,
 }
 
-/// Fails with the invariant's name unless it holds.
+/// Returns an error that names the invariant if the condition is false.
 pub(crate) fn ensure(
     condition: bool,
     component: &'static str,
@@ -45,200 +45,202 @@
     }
 }
 
-/// Rises with each change of the register; a fence: whoever has seen a higher one refuses what carries a
-/// lower.
+/// Version of the register, which increases with each change. Also used as a fencing token: a receiver that has
+/// seen a higher term refuses orders with a lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// One try at a change. No two askers' are alike, and each asker's rise.
+/// Number of one attempt to change the register. Ballots of different proposers differ, and those of one
+/// proposer increase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Rises.
+    /// Increases with each attempt.
     pub round: u64,
-    /// The asker's life (drawn at its start).
+    /// Incarnation of the proposer, drawn when its process starts.
     #[serde(rename = "asker")]
     pub proposer: u64,
 }
 
-/// Who may be out.
+/// Member of the fleet that may be out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
-    /// A front, by a digest of its name: whichever of its lives.
+    /// Front, by a digest of its name; the same for all its incarnations.
     Front(u64),
-    /// A video server, as the list names it.
+    /// Video server, by its id in the server list.
     Server(u64),
 }
 
-/// Where somebody stands.
+/// Location of a member of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place {
-    /// The hall, by a digest of its name.
+    /// Zone, by a digest of its name.
     #[serde(rename = "hall")]
     pub zone: u32,
-    /// The rack, where it stands in one.
+    /// Rack in the zone, if known.
     pub rack: Option<u32>,
-    /// A server's cell: a title lies on a run of them.
+    /// Cell of a server; each title is stored on a run of consecutive cells.
     pub cell: Option<u32>,
 }
 
-/// The fleet's word that somebody may be out for a while.
+/// Lease that allows one member of the fleet to be out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Permit {
-    /// Who.
+    /// Member that may be out of service.
     pub subject: Subject,
-    /// Where.
+    /// Location of the subject.
     pub place: Place,
-    /// Whose process asked for it, and may give it back.
+    /// Incarnation of the process that requested the permit and may return it.
     pub holder: u64,
-    /// Which of that process's asks: with the holder it names this grant or renewal, as a term alone does
-    /// not: two tries of which none got through may bear the same one.
+    /// Number of the holder's request. Holder and request id identify this grant or renewal; a term alone does
+    /// not, because two attempts that both failed may have used the same one.
     #[serde(rename = "ask")]
     pub request_id: u32,
-    /// The term in which it was granted or last renewed.
+    /// Term in which it was granted or last renewed.
     pub term: Term,
-    /// How long it lasts from before that was asked, ms.
+    /// Duration in milliseconds, counted from before the request was sent.
     pub lease_ms: u32,
 }
 
 impl Permit {
-    /// How long it lasts for its holder.
+    /// Duration of the lease for its holder.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms.into())
     }
 
-    /// How long a witness keeps it from when it took it.
+    /// Time for which a witness treats the permit as held, from when it accepted it.
     pub fn hold_time(&self) -> Duration {
         hold_time(self.lease())
     }
 
-    /// This very grant or renewal.
+    /// Identifier of this grant or renewal.
     pub fn lease_id(&self) -> LeaseId {
         LeaseId { subject: Some(self.subject), holder: self.holder, request_id: self.request_id }
     }
 }
 
-/// One lease that a witness counts the age of: a permit's, or (without a subject) the release's.
+/// Identifier of one grant or renewal of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId {
-    /// Of a permit: for whom.
+    /// Subject of a permit; `None` for the lease of the release's driver.
     pub subject: Option<Subject>,
-    /// Whose.
+    /// Incarnation of the process that holds the lease.
     pub holder: u64,
-    /// By which of its asks.
+    /// Number of the holder's request.
     #[serde(rename = "ask")]
     pub request_id: u32,
 }
 
-/// What a witness knows after its start.
+/// Extent to which an acceptor remembers earlier promises and accepted values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemoryState {
-    /// It forgot, and what it forgot may be in force: its word counts for nothing.
+    /// It lost its state, and leases or attempts that it forgot may still be in force. Its messages do not count
+    /// towards a quorum.
     #[serde(rename = "Blind")]
     Recovering,
-    /// It forgot, and nothing that it forgot is in force any more. It has not taken the value anew: it counts
-    /// only where all witnesses answer, as at a fleet's first start.
+    /// It lost its state, but everything that it forgot has expired. It has not accepted a value since, so it
+    /// counts only if all witnesses answer, as at the first start of a fleet.
     #[serde(rename = "Waited")]
     WaitedOut,
-    /// It knows all that it ever took.
+    /// It knows everything that it ever accepted.
     #[serde(rename = "Sees")]
     Current,
 }
 
-/// Where a release stands. The moves between these are [`crate::Release`]'s table alone.
+/// State of a release. Transitions are defined by [`crate::next_stage`] alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Taken in, nothing done.
+    /// Registered; nothing has been done yet.
     Planned,
-    /// Its forecast allows it.
+    /// Allowed by its forecast; the change is being staged at all fronts.
     Forecast,
-    /// Staged at all; the canaries go.
+    /// Staged at all fronts; the canaries are being changed.
     Canary,
-    /// That wave goes.
+    /// The wave of that number is being changed.
     Wave(u16),
-    /// Whoever went in that wave (0: the canaries) is watched, nobody goes.
+    /// The wave of that number (0: the canaries) is under observation; no front is being changed.
     #[serde(rename = "Watched")]
     Observed(u16),
-    /// Nobody new goes out, who is out comes back.
+    /// No further front goes out of service; those that are out return.
     Halted(HaltCause),
-    /// What was changed is changed back.
+    /// The changed fronts are being changed back.
     #[serde(rename = "GoingBack")]
     RollingBack,
-    /// All have it.
+    /// All fronts run the new version.
     Done,
-    /// All have what they had.
+    /// All fronts run the previous version.
     #[serde(rename = "TakenBack")]
     RolledBack,
 }
 
-/// Why a release halted.
+/// Reason why a release halted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HaltCause {
-    /// An operator said so.
+    /// An operator halted it.
     Operator,
-    /// A rule's checker, or an invariant, at a changed front.
+    /// A rule checker or an invariant failed at a changed front.
     #[serde(rename = "Rule")]
     RuleViolation,
-    /// Restarts that fail or loop.
+    /// Restarts fail, or a front restarts in a loop.
     #[serde(rename = "Restarts")]
     FailedRestarts,
-    /// Paid worth served at changed fronts is under that of unchanged ones by more than chance.
+    /// Changed fronts serve a smaller share of paid requests than unchanged ones, by more than chance.
     #[serde(rename = "Worth")]
     ServedShare,
-    /// Permits could not be had for too long.
+    /// A front waited too long for a permit.
     #[serde(rename = "Permits")]
     PermitWait,
-    /// The view is too unsure.
+    /// The membership view has been uncertain for too long.
     #[serde(rename = "View")]
     UncertainView,
-    /// More are out than planned.
+    /// More fronts are out of service than planned.
     #[serde(rename = "Out")]
     TooManyOut,
-    /// What came was outside what was foretold.
+    /// The forecast does not allow it, or was wrong.
     Forecast,
-    /// A front does not take what was staged.
+    /// A front rejected the staged text.
     Staging,
 }
 
-/// The release as the witnesses keep it.
+/// State of the current or last release, as stored in the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReleaseRecord {
-    /// Rises with each release; the way back is one too.
+    /// Increases with each release; a rollback is a release of its own.
     pub number: u64,
-    /// Which plan, by a digest of its text.
+    /// Digest of the plan.
     #[serde(rename = "plan")]
     pub plan_digest: u64,
-    /// Where it stands.
+    /// Current stage.
     pub stage: Stage,
-    /// The life that drives it.
+    /// Incarnation of the process that drives the release.
     pub driver: u64,
-    /// The term in which that one took it: the fence of all that it does.
+    /// Term in which the driver took over: the fencing token of all its orders.
     pub fence: Term,
-    /// How long the driver may act without renewing it, ms.
+    /// Duration of the driver's lease in milliseconds.
     pub lease_ms: u32,
-    /// Which of the driver's asks renewed it last.
+    /// Number of the driver's request that last renewed the lease.
     #[serde(rename = "ask")]
     pub request_id: u32,
 }
 
 impl ReleaseRecord {
-    /// The lease as it was last renewed.
+    /// Identifier of the driver's lease as last renewed.
     pub fn lease_id(&self) -> LeaseId {
         LeaseId { subject: None, holder: self.driver, request_id: self.request_id }
     }
 
-    /// How long a witness keeps it.
+    /// Time for which a witness treats the driver's lease as held.
     pub fn hold_time(&self) -> Duration {
         hold_time(Duration::from_millis(self.lease_ms.into()))
     }
 }
 
-/// The one value that a majority of the witnesses holds.
+/// Replicated value on which a majority of the witnesses agrees.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Register {
-    /// Rises with each change.
+    /// Increases with each change.
     pub term: Term,
-    /// Who may be out, by subject; [`MOST_PERMITS`] at most.
+    /// Permits in force, ordered by subject; at most [`MAX_PERMITS`].
     pub permits: Vec<Permit>,
-    /// The release, the last one where it is over.
+    /// Current release, or the last one if it has ended.
     pub release: Option<ReleaseRecord>,
 }
