--- a/crates/out/src/driver.rs
+++ b/crates/out/src/driver.rs
@@ -7,10 +7,10 @@
 use crate::change::{Change, DenialReason};
 use crate::halt_detector::HaltDetector;
 use crate::limits::FleetView;
+use crate::order::FencedOrder;
 use crate::proposal::{GrantedLease, Outcome};
 use crate::release::Plan;
 use crate::report::{DriverAction, FrontReport, MAX_REPORTS};
-use crate::staged_config::FencedOrder;
 use crate::types::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/out/src/lib.rs
+++ b/crates/out/src/lib.rs
@@ -14,6 +14,7 @@
 mod halt_detector;
 mod limits;
 mod message;
+mod order;
 mod proposal;
 mod proposer;
 mod register;
@@ -32,9 +33,10 @@
     check_limits, Availability, FleetView, GrantContext, Limits, MaxOutOfService, MemberStatus,
 };
 pub use message::Message;
+pub use order::{FencedOrder, Generation, Order, OrderError};
 pub use proposal::{GrantedLease, Outcome, MAX_ATTEMPTS};
 pub use proposer::{Proposer, ProposerConfig};
 pub use release::{next_stage, Plan, ReleaseEvent, ReleaseTarget, Wave, MAX_WAVES};
 pub use report::{DriverAction, FrontReport, ServiceState, MAX_REPORTS};
-pub use staged_config::{FencedOrder, Generation, Order, OrderError, StagedConfig, MAX_GENERATIONS};
+pub use staged_config::{StagedConfig, MAX_GENERATIONS};
 pub use types::*;
--- a/crates/out/src/report.rs
+++ b/crates/out/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::change::Change;
 use crate::halt_detector::Tally;
-use crate::staged_config::{FencedOrder, Generation};
+use crate::order::{FencedOrder, Generation};
 use crate::types::{Place, Term};
 use std::time::Duration;
 
--- a/crates/out/src/rollout.rs
+++ b/crates/out/src/rollout.rs
@@ -3,9 +3,9 @@
 use crate::change::Change;
 use crate::driver::Driver;
 use crate::limits::FleetView;
+use crate::order::{FencedOrder, Generation, Order};
 use crate::release::{ReleaseEvent, ReleaseTarget};
 use crate::report::{failure_severity, DriverAction, FrontReport, ServiceState, MAX_REPORTS};
-use crate::staged_config::{FencedOrder, Generation, Order};
 use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/out/src/staged_config.rs
+++ b/crates/out/src/staged_config.rs
@@ -1,77 +1,12 @@
 //! Settings and layouts at a front: staged, checked, then activated as a whole between two steps.
 
+use crate::order::{FencedOrder, Generation, Order, OrderError};
 use crate::types::{ensure, InvariantViolation, ReleaseRecord, Term};
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Maximum number of generations retained: the active one, those that sessions started with, and staged ones.
 pub const MAX_GENERATIONS: usize = 8;
 
-/// Text of settings or of a layout.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Generation {
-    /// Increases with each new text.
-    pub number: u64,
-    /// Digest of the text.
-    pub digest: u64,
-}
-
-/// Order of a driver to a front.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Order {
-    /// Fetch the text and check it.
-    Stage(Generation),
-    /// Activate the text between two steps.
-    #[serde(rename = "Take")]
-    Activate(Generation),
-    /// Request a permit and restart into the build.
-    #[serde(rename = "Go")]
-    Restart {
-        /// Identifier of the build.
-        #[serde(rename = "word")]
-        build_id: u64,
-    },
-    /// Cancel a restart that has not begun; return to service if it has.
-    Hold,
-}
-
-/// Order with the fencing token of its driver.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct FencedOrder {
-    /// Term in which the driver took over the release.
-    pub fence: Term,
-    /// Number of the release.
-    pub release: u64,
-    /// Order itself.
-    pub order: Order,
-}
-
-/// Reason why a front does not follow an order.
-#[derive(
-    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
-)]
-pub enum OrderError {
-    /// The front has seen a later driver, whose fencing token is given.
-    #[error("order of an earlier driver")]
-    #[serde(rename = "Fence")]
-    StaleFence(Term),
-    /// The front has seen a later release, whose number is given.
-    #[error("order of an earlier release")]
-    #[serde(rename = "Over")]
-    StaleRelease(u64),
-    /// The text was not staged, or has not passed its checks.
-    #[error("text is not staged and checked")]
-    NotStaged,
-    /// All [`MAX_GENERATIONS`] generations are in use.
-    #[error("too many generations in use")]
-    #[serde(rename = "Full")]
-    TooManyGenerations,
-    /// The generation is older than the active one, or is another text with a known number.
-    #[error("generation is older than the active one, or differs from the text of the same number")]
-    #[serde(rename = "Older")]
-    StaleGeneration,
-}
-
 /// Retained text of one generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Text {
