--- a/crates/out/src/acceptor.rs
+++ b/crates/out/src/acceptor.rs
@@ -1,15 +1,15 @@
 //! Acceptor side of the register: its promise, its accepted value, and the age of each lease.
 //!
-//! An acceptor that starts without its persisted state has forgotten promises and values. Besides the majority
-//! that did not forget, three rules keep this harmless:
+//! An acceptor that starts without its persisted state has forgotten promises and values. Besides the
+//! majority that did not forget, three rules keep this harmless:
 //!
 //! - After [`recovery_time`], all attempts that began before the restart have ended: a proposer uses promises
 //!   for [`ROUND_TIMEOUT`] after its prepare message, and an acceptor accepts a value for [`ROUND_TIMEOUT`]
 //!   after its promise, and only if the message names the incarnation that promised.
 //! - After [`recovery_time`], all leases that the acceptor may have forgotten have expired.
 //! - The acceptor becomes [`MemoryState::Current`] only when it accepts a value that it promised after that
-//!   time. The value was derived from the promises of a majority of current acceptors, so it is at least as new
-//!   as anything that the acceptor accepted before it forgot.
+//!   time. The value was derived from the promises of a majority of current acceptors, so it is at least as
+//!   new as anything that the acceptor accepted before it forgot.
 
 use crate::message::Message;
 use crate::types::*;
@@ -64,9 +64,9 @@
 impl Acceptor {
     /// Creates the acceptor of a process that starts at `now`.
     ///
-    /// `address` is the witness's address in the settings, `incarnation` is drawn at the start of the process,
-    /// `max_lease` is the longest lease and must be the same at all witnesses, and `persisted` is the state that
-    /// an earlier incarnation left on disk, if any.
+    /// `address` is the witness's address in the settings, `incarnation` is drawn at the start of the
+    /// process, `max_lease` is the longest lease and must be the same at all witnesses, and `persisted` is
+    /// the state that an earlier incarnation left on disk, if any.
     pub fn new(
         now: Duration,
         address: SocketAddr,
--- a/crates/out/src/driver.rs
+++ b/crates/out/src/driver.rs
@@ -1,8 +1,8 @@
 //! Driver of a release, or a standby that takes over when the driver's lease expires.
 //!
-//! A driver needs only the plan, the release record of the register, and the reports of the fronts: what a front
-//! has already is not done again. It acts only while its lease is valid, and each order carries the lease's
-//! fencing token.
+//! A driver needs only the plan, the release record of the register, and the reports of the fronts: what a
+//! front has already is not done again. It acts only while its lease is valid, and each order carries the
+//! lease's fencing token.
 
 use crate::change::{Change, DenialReason};
 use crate::halt_detector::HaltDetector;
@@ -56,8 +56,8 @@
 impl Driver {
     /// Creates a standby.
     ///
-    /// `incarnation` is that of the process's proposer, `standby_rank` is the number of standbys that try before
-    /// this one, and a front without a report for `silent_after` counts as out of service.
+    /// `incarnation` is that of the process's proposer, `standby_rank` is the number of standbys that try
+    /// before this one, and a front without a report for `silent_after` counts as out of service.
     pub fn new(
         now: Duration,
         incarnation: u64,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Requests the start of the release. It does not start while another release is in progress; call this again
-    /// when that one has ended.
+    /// Requests the start of the release. It does not start while another release is in progress; call this
+    /// again when that one has ended.
     pub fn start_release(&mut self) {
         self.start_requested = true;
     }
--- a/crates/out/src/halt_detector.rs
+++ b/crates/out/src/halt_detector.rs
@@ -1,17 +1,17 @@
 //! Detection of reasons to halt a release.
 //!
-//! The share of paid requests served at changed fronts is compared with that at unchanged ones by a sequential
-//! test that is valid at any time: an e-process of two proportions (Turner, Ly, Grünwald, "Generic E-variables
-//! for exact sequential k-sample tests that allow for optional stopping", 2021). For a block of paid requests,
-//! `nc` at changed fronts and `nu` at unchanged ones, and estimates `c < u` of the served shares made before the
-//! block, each request counts by the likelihood of its result under its estimate over that under
-//! `m = (nc c + nu u) / (nc + nu)`. If changed fronts serve no less, the mean of the product over a block is at
-//! most one: it decreases as the true share at unchanged fronts decreases or that at changed fronts increases,
-//! and for the same share `p` at both it is `A^nc B^nu` with `A = 1 + (p - m)(c - m)/m(1 - m)` and `B` alike with
-//! `u`, whose weighted mean is one. So the product over all blocks, and its mean over several estimates of the
-//! difference, ever exceeds `1 / error` with a probability of at most `error` (Ville's inequality). The test
-//! assumes that the requests of a block are independent and that without a change both sides have the same
-//! share, which may differ from block to block.
+//! The share of paid requests served at changed fronts is compared with that at unchanged ones by a
+//! sequential test that is valid at any time: an e-process of two proportions (Turner, Ly, Grünwald, "Generic
+//! E-variables for exact sequential k-sample tests that allow for optional stopping", 2021). For a block of
+//! paid requests, `nc` at changed fronts and `nu` at unchanged ones, and estimates `c < u` of the served
+//! shares made before the block, each request counts by the likelihood of its result under its estimate over
+//! that under `m = (nc c + nu u) / (nc + nu)`. If changed fronts serve no less, the mean of the product over
+//! a block is at most one: it decreases as the true share at unchanged fronts decreases or that at changed
+//! fronts increases, and for the same share `p` at both it is `A^nc B^nu` with `A = 1 + (p - m)(c - m)/m(1 -
+//! m)` and `B` alike with `u`, whose weighted mean is one. So the product over all blocks, and its mean over
+//! several estimates of the difference, ever exceeds `1 / error` with a probability of at most `error`
+//! (Ville's inequality). The test assumes that the requests of a block are independent and that without a
+//! change both sides have the same share, which may differ from block to block.
 
 use crate::release::Plan;
 use crate::report::{FrontReport, ServiceState};
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Requests since the earlier count `before`; `None` if the counter was reset by a restart of the process.
+    /// Requests since the earlier count `before`; `None` if the counter was reset by a restart of the
+    /// process.
     pub fn delta_since(self, before: Tally) -> Option<Tally> {
         let requested = self.requested.checked_sub(before.requested)?;
         Some(Tally { requested, served: self.served.checked_sub(before.served)?.min(requested) })
--- a/crates/out/src/lib.rs
+++ b/crates/out/src/lib.rs
@@ -1,9 +1,9 @@
 //! Permits to be out of service and staged releases for a fleet: protocol state without I/O.
 //!
 //! One small value, the [`Register`], holds all permits and the current release. It is changed by compare and
-//! swap at a majority of the witnesses (CASPaxos: Rystsov, "CASPaxos: Replicated State Machines without logs",
-//! 2018), so each change sees all earlier ones and any limit is a function of that value. The design and its
-//! failure cases are described in `docs/changes.md`.
+//! swap at a majority of the witnesses (CASPaxos: Rystsov, "CASPaxos: Replicated State Machines without
+//! logs", 2018), so each change sees all earlier ones and any limit is a function of that value. The design
+//! and its failure cases are described in `docs/changes.md`.
 //!
 //! Times are [`std::time::Duration`]s on the caller's monotonic clock, which must keep counting while the
 //! machine is suspended.
--- a/crates/out/src/limits.rs
+++ b/crates/out/src/limits.rs
@@ -101,8 +101,8 @@
     matches!((a, b), (Subject::Front(_), Subject::Front(_)) | (Subject::Server(_), Subject::Server(_)))
 }
 
-/// Checks whether one more member may go out of service. Every member that has a permit or is not serving, for
-/// whatever reason, counts as out.
+/// Checks whether one more member may go out of service. Every member that has a permit or is not serving,
+/// for whatever reason, counts as out.
 ///
 /// # Errors
 /// The first limit that would be exceeded.
@@ -161,9 +161,9 @@
     let (cells, copies) = (limits.ring_cells, limits.cells_per_title.min(limits.ring_cells));
     let others = fleet.members.iter().filter(|(s, _)| **s != subject && !out.contains_key(s));
     let serving_cells: BTreeSet<u32> = others.filter_map(|(_, m)| m.place.cell).map(|c| c % cells).collect();
-    // A run that contains the cell begins at it or at one of the `copies - 1` cells before it. One of these runs
-    // has no other server in service if and only if at least `copies` cells lie between the nearest serving
-    // cells before and after this one.
+    // A run that contains the cell begins at it or at one of the `copies - 1` cells before it. One of these
+    // runs has no other server in service if and only if at least `copies` cells lie between the nearest
+    // serving cells before and after this one.
     let cell = cell % cells;
     let behind = serving_cells.iter().map(|c| (cell + cells - c) % cells).min();
     let ahead = serving_cells.iter().map(|c| (c + cells - cell) % cells).min();
--- a/crates/out/src/message.rs
+++ b/crates/out/src/message.rs
@@ -27,8 +27,9 @@
         /// Value that the acceptor accepted last, and its ballot.
         #[serde(rename = "taken")]
         accepted: Option<(Ballot, Register)>,
-        /// Bit n is set if the acceptor has had the lease of that value's permit n, by [`crate::LeaseId`], for
-        /// longer than its hold time. Bit [`crate::MAX_PERMITS`] stands for the driver's lease of the release.
+        /// Bit n is set if the acceptor has had the lease of that value's permit n, by [`crate::LeaseId`],
+        /// for longer than its hold time. Bit [`crate::MAX_PERMITS`] stands for the driver's lease of the
+        /// release.
         #[serde(rename = "lapsed")]
         expired_leases: u32,
         /// State of the acceptor's memory, which decides whether the promise counts.
--- a/crates/out/src/proposal.rs
+++ b/crates/out/src/proposal.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Backoff before the next attempt: its upper limit doubles with each attempt, and the seed makes proposers
-    /// differ.
+    /// Backoff before the next attempt: its upper limit doubles with each attempt, and the seed makes
+    /// proposers differ.
     pub(crate) fn backoff(&self, seed: u64) -> Duration {
         let random = mix_bits(seed ^ u64::from(self.attempts) << 48);
         Duration::from_millis(
--- a/crates/out/src/proposer.rs
+++ b/crates/out/src/proposer.rs
@@ -65,9 +65,10 @@
         }
     }
 
-    /// Sets the incarnation whose permits later [`Change::ReturnPermit`] requests return: an earlier incarnation
-    /// of this front, which has ended and uses no permit any more, or this one for `None`. Ballots and request
-    /// ids stay those of this incarnation, because messages of the earlier one may still be in flight.
+    /// Sets the incarnation whose permits later [`Change::ReturnPermit`] requests return: an earlier
+    /// incarnation of this front, which has ended and uses no permit any more, or this one for `None`.
+    /// Ballots and request ids stay those of this incarnation, because messages of the earlier one may still
+    /// be in flight.
     pub fn return_permits_of(&mut self, earlier: Option<u64>) {
         self.return_holder = earlier.unwrap_or(self.config.incarnation);
     }
@@ -182,8 +183,8 @@
         (self.proposal, self.outcome) = (None, Some(outcome));
     }
 
-    /// Handles a response of an acceptor and returns the messages to send. `context` is what a grant is checked
-    /// against when a majority has promised.
+    /// Handles a response of an acceptor and returns the messages to send. `context` is what a grant is
+    /// checked against when a majority has promised.
     pub fn handle_message(
         &mut self,
         now: Duration,
--- a/crates/out/src/register.rs
+++ b/crates/out/src/register.rs
@@ -14,8 +14,8 @@
         self.permits.retain(|p| !expired.contains(&p.lease_id()));
     }
 
-    /// Applies a change that was submitted by the incarnation `holder` with the given request id. `expired` names
-    /// leases that have expired at a witness; `context` is what a grant is checked against.
+    /// Applies a change that was submitted by the incarnation `holder` with the given request id. `expired`
+    /// names leases that have expired at a witness; `context` is what a grant is checked against.
     ///
     /// # Errors
     /// Reason why the change is denied; the register is then unchanged.
@@ -79,7 +79,8 @@
                     return Err(DenialReason::Fenced);
                 }
                 let to = next_stage(from, event, last_wave).ok_or(DenialReason::InvalidTransition)?;
-                // A release enters each stage once, so a transition that was made before cannot be made again.
+                // A release enters each stage once, so a transition that was made before cannot be made
+                // again.
                 if release.stage != from && release.stage != to {
                     return Err(DenialReason::InvalidTransition);
                 }
@@ -118,11 +119,13 @@
         let index = self.permits.iter().position(|p| p.subject == permit.subject);
         match index.map(|i| &mut self.permits[i]) {
             Some(p) if p.lease_id() == permit.lease_id() => return Ok(Applied::AlreadyApplied),
-            // The permit is counted already. Denying a renewal would only leave the subject out without a permit.
+            // The permit is counted already. Denying a renewal would only leave the subject out without a
+            // permit.
             Some(p) if p.holder == permit.holder => *p = permit,
             Some(_) => return Err(DenialReason::HeldByAnother),
             None => {
-                // No permit is granted under a release that has halted, even if the requester has not noticed yet.
+                // No permit is granted under a release that has halted, even if the requester has not noticed
+                // yet.
                 let allows_permits = |r: &ReleaseRecord| {
                     Some(r.number) == release
                         && matches!(r.stage, Stage::Canary | Stage::Wave(_) | Stage::RollingBack)
--- a/crates/out/src/release.rs
+++ b/crates/out/src/release.rs
@@ -139,7 +139,8 @@
     /// The release halts if a front waits longer than this for a permit, in milliseconds.
     #[serde(rename = "permits_ms")]
     pub max_permit_wait_ms: u32,
-    /// Highest probability, in millionths, that the test of the served share halts a release that changes nothing.
+    /// Highest probability, in millionths, that the test of the served share halts a release that changes
+    /// nothing.
     #[serde(rename = "error_ppm")]
     pub false_halt_ppm: u32,
     /// Number of the release that this one rolls back, if it is a rollback.
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Order in which fronts are changed, the same for every driver. `severity` is higher for a front with worse
-    /// failures; a rollback changes those first.
+    /// Order in which fronts are changed, the same for every driver. `severity` is higher for a front with
+    /// worse failures; a rollback changes those first.
     pub fn rollout_order(&self, fleet: &BTreeMap<u64, Place>, severity: impl Fn(u64) -> u64) -> Vec<u64> {
         let mut order: Vec<u64> = fleet.keys().copied().collect();
         let random = |name: u64| mix_bits(name ^ mix_bits(self.number));
@@ -194,8 +195,8 @@
         order
     }
 
-    /// Fronts that run the target by the end of the stage, including those of earlier waves. A pure function of
-    /// the plan and the fleet, so that every driver gets the same result.
+    /// Fronts that run the target by the end of the stage, including those of earlier waves. A pure function
+    /// of the plan and the fleet, so that every driver gets the same result.
     pub fn fronts_at(&self, stage: Stage, fleet: &BTreeMap<u64, Place>) -> BTreeSet<u64> {
         let wave_number = match stage {
             Stage::Canary | Stage::Observed(0) => 0,
--- a/crates/out/src/report.rs
+++ b/crates/out/src/report.rs
@@ -58,8 +58,8 @@
     Send(u64, FencedOrder),
 }
 
-/// Severity of a front's failures: rule violations first, then failed restarts, then the share of paid requests
-/// that were not served (in thousandths).
+/// Severity of a front's failures: rule violations first, then failed restarts, then the share of paid
+/// requests that were not served (in thousandths).
 pub(crate) fn failure_severity(report: &FrontReport) -> u64 {
     let not_served = u64::from(report.paid.requested.saturating_sub(report.paid.served)) * 1_000;
     let share = not_served.checked_div(report.paid.requested.into()).unwrap_or(0);
--- a/crates/out/src/responses.rs
+++ b/crates/out/src/responses.rs
@@ -46,8 +46,8 @@
         }
         let promises = match &mut proposal.phase {
             Phase::Preparing(promises) => promises,
-            // A promise that comes after the quorum: the acceptor gets the value too, and one that lost its state
-            // becomes current by accepting it.
+            // A promise that comes after the quorum: the acceptor gets the value too, and one that lost its
+            // state becomes current by accepting it.
             Phase::Accepting { value, incarnations, .. } if !incarnations.contains_key(&witness) => {
                 incarnations.insert(witness, promise.incarnation);
                 let (reply_to, value) = (self.config.address, value.clone());
--- a/crates/out/src/rollout.rs
+++ b/crates/out/src/rollout.rs
@@ -93,8 +93,8 @@
         missing.is_empty()
     }
 
-    /// Orders the fronts of the current stage that do not run the target yet to change to it. Returns whether all
-    /// run it and are in service again.
+    /// Orders the fronts of the current stage that do not run the target yet to change to it. Returns whether
+    /// all run it and are in service again.
     fn roll_out(
         &mut self,
         now: Duration,
--- a/crates/out/src/staged_config.rs
+++ b/crates/out/src/staged_config.rs
@@ -140,8 +140,8 @@
         self.active
     }
 
-    /// Counts a new session, which keeps the active generation until it ends. Returns `None` if the count would
-    /// overflow.
+    /// Counts a new session, which keeps the active generation until it ends. Returns `None` if the count
+    /// would overflow.
     pub fn start_session(&mut self) -> Option<Generation> {
         let text = self.texts.get_mut(&self.active.number)?;
         text.sessions = text.sessions.checked_add(1)?;
@@ -161,8 +161,8 @@
         self.texts.get(&generation.number).is_some_and(|t| t.digest == generation.digest && t.checked)
     }
 
-    /// Brings a front that was away up to the active generation of the fleet: stages it, and activates it once it
-    /// is checked.
+    /// Brings a front that was away up to the active generation of the fleet: stages it, and activates it
+    /// once it is checked.
     ///
     /// # Errors
     /// Same as [`StagedConfig::handle_order`].
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Records the release in the register, so that orders of earlier drivers are refused. A front that starts
-    /// must do this before it follows any order.
+    /// Records the release in the register, so that orders of earlier drivers are refused. A front that
+    /// starts must do this before it follows any order.
     pub fn observe_release(&mut self, record: &ReleaseRecord) {
         self.fence = self.fence.max(record.fence);
         self.release = self.release.max(record.number);
--- a/crates/out/src/types.rs
+++ b/crates/out/src/types.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Version of the register, which increases with each change. Also used as a fencing token: a receiver that has
-/// seen a higher term refuses orders with a lower one.
+/// Version of the register, which increases with each change. Also used as a fencing token: a receiver that
+/// has seen a higher term refuses orders with a lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
@@ -91,8 +91,8 @@
     pub place: Place,
     /// Incarnation of the process that requested the permit and may return it.
     pub holder: u64,
-    /// Number of the holder's request. Holder and request id identify this grant or renewal; a term alone does
-    /// not, because two attempts that both failed may have used the same one.
+    /// Number of the holder's request. Holder and request id identify this grant or renewal; a term alone
+    /// does not, because two attempts that both failed may have used the same one.
     #[serde(rename = "ask")]
     pub request_id: u32,
     /// Term in which it was granted or last renewed.
@@ -133,15 +133,15 @@
 /// Extent to which an acceptor remembers earlier promises and accepted values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemoryState {
-    /// It lost its state, and leases or attempts that it forgot may still be in force. Its messages do not count
-    /// towards a quorum.
+    /// The acceptor lost its state, and leases or attempts that it forgot may still be in force. Its messages
+    /// do not count towards a quorum.
     #[serde(rename = "Blind")]
     Recovering,
-    /// It lost its state, but everything that it forgot has expired. It has not accepted a value since, so it
-    /// counts only if all witnesses answer, as at the first start of a fleet.
+    /// The acceptor lost its state, but everything that it forgot has expired. It has not accepted a value
+    /// since, so it counts only if all witnesses answer, as at the first start of a fleet.
     #[serde(rename = "Waited")]
     WaitedOut,
-    /// It knows everything that it ever accepted.
+    /// The acceptor knows everything that it ever accepted.
     #[serde(rename = "Sees")]
     Current,
 }
@@ -175,7 +175,7 @@
 /// Reason why a release halted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HaltCause {
-    /// An operator halted it.
+    /// An operator halted the release.
     Operator,
     /// A rule checker or an invariant failed at a changed front.
     #[serde(rename = "Rule")]
@@ -195,7 +195,7 @@
     /// More fronts are out of service than planned.
     #[serde(rename = "Out")]
     TooManyOut,
-    /// The forecast does not allow it, or was wrong.
+    /// The forecast does not allow the release, or was wrong.
     Forecast,
     /// A front rejected the staged text.
     Staging,
--- a/crates/out/tests/model_register.rs
+++ b/crates/out/tests/model_register.rs
@@ -1,80 +1,82 @@
-//! Agreement on the register in all interleavings of a small fleet: askers and three witnesses, words lost,
-//! doubled, late and out of order, a witness that forgets, leases that run out. At each instant no more
-//! permits are in force, by their holders' own count of time, than the limit; terms never repeat or fall.
+//! Agreement on the register in all interleavings of a small fleet: proposers and three witnesses; lost,
+//! duplicated, delayed and reordered messages; a witness that loses its state; leases that expire. At each
+//! instant no more permits are valid on their holders' clocks than the limit, and terms never repeat or
+//! decrease.
 //!
-//! A word that is never delivered is lost. A word that its witness had not got when the next one was said may
-//! come later; so may a copy of one that it got. An answer is lost, or comes at once: one that comes late is
-//! as a word that came late.
+//! A message that is never delivered is lost. A message that was not delivered before the next one was sent
+//! may arrive later; so may a copy of a delivered one. A response is lost or arrives at once, because a
+//! delayed response has the same effect as a delayed message.
 
-mod agree;
+mod register_model;
 
-use agree::{World, OVER, TERMS};
+use register_model::{RegisterModel, PERMIT_LIMIT, TERM_ORDER};
 use stateright::{Checker, Model};
 use std::time::Duration;
 
-fn check(world: World, seen: &[&'static str]) {
-    let checker = world.checker().threads(2).spawn_bfs().join();
+fn check(model: RegisterModel, reached: &[&'static str]) {
+    let checker = model.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
-    for name in seen {
+    for name in reached {
         checker.assert_any_discovery(name);
     }
-    checker.assert_no_discovery(OVER);
-    checker.assert_no_discovery(TERMS);
+    checker.assert_no_discovery(PERMIT_LIMIT);
+    checker.assert_no_discovery(TERM_ORDER);
 }
 
-const NONE: World = World {
-    askers: 2,
-    limit: 1,
+const BASE: RegisterModel = RegisterModel {
+    proposers: 2,
+    max_permits: 1,
     ticks: 3,
-    asks: 1,
-    lates: 0,
+    submissions: 1,
+    delays: 0,
     losses: 0,
-    forgets: 0,
+    state_losses: 0,
     lease: Duration::from_secs(2),
 };
 
 #[test]
-fn leases_that_run_out_and_are_renewed() {
-    check(World { ticks: 4, asks: 2, ..NONE }, &["grants", "lapses", "renews"]);
+fn agreement_holds_with_expired_and_renewed_leases() {
+    check(RegisterModel { ticks: 4, submissions: 2, ..BASE }, &["grants", "expires", "renews"]);
 }
 
 #[test]
-fn leases_of_some_ticks() {
-    check(World { ticks: 4, lease: Duration::from_secs(5), ..NONE }, &["grants", "lapses"]);
+fn agreement_holds_with_leases_of_several_ticks() {
+    check(RegisterModel { ticks: 4, lease: Duration::from_secs(5), ..BASE }, &["grants", "expires"]);
 }
 
 #[test]
-fn words_lost() {
-    check(World { ticks: 4, losses: 1, ..NONE }, &["grants", "lapses"]);
+fn agreement_holds_with_lost_messages() {
+    check(RegisterModel { ticks: 4, losses: 1, ..BASE }, &["grants", "expires"]);
 }
 
 #[test]
-fn words_late_and_doubled() {
-    check(World { ticks: 4, lates: 1, ..NONE }, &["grants", "lapses"]);
+fn agreement_holds_with_delayed_and_duplicated_messages() {
+    check(RegisterModel { ticks: 4, delays: 1, ..BASE }, &["grants", "expires"]);
 }
 
 #[test]
-fn words_late_and_doubled_and_lost() {
-    check(World { ticks: 1, lates: 1, losses: 1, ..NONE }, &["grants"]);
+fn agreement_holds_with_delayed_duplicated_and_lost_messages() {
+    check(RegisterModel { ticks: 1, delays: 1, losses: 1, ..BASE }, &["grants"]);
 }
 
 #[test]
-fn words_late_and_doubled_and_renewed() {
-    check(World { ticks: 0, asks: 2, lates: 1, ..NONE }, &["grants", "renews"]);
+fn agreement_holds_with_delayed_messages_and_renewals() {
+    check(RegisterModel { ticks: 0, submissions: 2, delays: 1, ..BASE }, &["grants", "renews"]);
 }
 
 #[test]
-fn a_witness_that_forgets() {
-    check(World { ticks: 1, losses: 1, forgets: 1, ..NONE }, &["grants"]);
+fn agreement_holds_if_a_witness_loses_its_state() {
+    check(RegisterModel { ticks: 1, losses: 1, state_losses: 1, ..BASE }, &["grants"]);
 }
 
 #[test]
-fn a_witness_that_forgets_and_comes_to_count_again() {
-    check(World { ticks: 8, forgets: 1, ..NONE }, &["grants", "lapses"]);
+fn agreement_holds_if_a_witness_loses_its_state_and_recovers() {
+    check(RegisterModel { ticks: 8, state_losses: 1, ..BASE }, &["grants", "expires"]);
 }
 
-/// Each of three witnesses would let two go; by its own count no pair of them would have stopped the third.
+/// Each witness alone would allow two permits, so no two of them would deny the third by their own counts;
+/// only agreement on one register does.
 #[test]
-fn a_limit_of_two_over_three_witnesses_never_gives_three() {
-    check(World { askers: 3, limit: 2, ticks: 0, ..NONE }, &["grants", "as many as may"]);
+fn three_proposers_never_get_three_permits_under_a_limit_of_two() {
+    check(RegisterModel { proposers: 3, max_permits: 2, ticks: 0, ..BASE }, &["grants", "limit reached"]);
 }
--- a/crates/out/tests/model_release.rs
+++ b/crates/out/tests/model_release.rs
@@ -1,21 +1,21 @@
-//! A release and its fences in all interleavings: two drivers that each believe that they drive, one of which
-//! stands still for as long as it likes; orders that come late and twice; leases that run out; an operator
-//! that halts.
+//! A release and its fencing tokens in all interleavings: two drivers that both consider themselves in
+//! charge, one of which may be suspended for any time; delayed and duplicated orders; leases that expire; an
+//! operator that halts the release.
 //!
-//! The register is one value here, as agreement makes it (`model_register.rs`): a driver reads and changes it
-//! at once, and hears of that later.
+//! The register is a single value here, as agreement provides it (`model_register.rs`): a change of a driver
+//! takes effect at once, and its outcome reaches the driver later.
 
-mod roll;
+mod release_model;
 
 use cloverhollow_out::*;
-use roll::{World, ONCE, RIGHT};
+use release_model::{ReleaseModel, AT_MOST_ONCE, SAFETY};
 use stateright::{Checker, Model};
 
 fn plan() -> Plan {
-    let most = MaxOutOfService { fleet: 1, zone: 1, rack: 1 };
+    let max = MaxOutOfService { fleet: 1, zone: 1, rack: 1 };
     let limits = Limits {
-        fronts: most,
-        servers: most,
+        fronts: max,
+        servers: max,
         cells_per_title: 0,
         ring_cells: 0,
         free_link_kbit_s: None,
@@ -37,21 +37,21 @@
     }
 }
 
-fn check(world: World, seen: &[&'static str]) {
-    let checker = world.checker().threads(2).spawn_bfs().join();
+fn check(model: ReleaseModel, reached: &[&'static str]) {
+    let checker = model.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
-    checker.assert_no_discovery(RIGHT);
-    checker.assert_no_discovery(ONCE);
-    seen.iter().for_each(|name| drop(checker.assert_any_discovery(name)));
+    checker.assert_no_discovery(SAFETY);
+    checker.assert_no_discovery(AT_MOST_ONCE);
+    reached.iter().for_each(|name| drop(checker.assert_any_discovery(name)));
 }
 
 #[test]
-fn a_stalled_driver_and_its_successor() {
-    let seen = ["done", "taken over and done", "an old fence is refused"];
-    check(World { halts: 0, sleeps: 1, lapses: 2 }, &seen);
+fn stalled_driver_and_its_successor_never_act_twice() {
+    let reached = ["done", "taken over and done", "a stale fencing token is refused"];
+    check(ReleaseModel { halts: 0, time_steps: 1, takeovers: 2 }, &reached);
 }
 
 #[test]
-fn an_operator_halts_and_it_is_taken_back() {
-    check(World { halts: 1, sleeps: 1, lapses: 0 }, &["done", "taken back"]);
+fn release_halted_by_an_operator_is_rolled_back() {
+    check(ReleaseModel { halts: 1, time_steps: 1, takeovers: 0 }, &["done", "rolled back"]);
 }
--- a/crates/out/tests/random.rs
+++ b/crates/out/tests/random.rs
@@ -1,4 +1,4 @@
-//! Drawn commands at the register, against what each should do.
+//! Random commands at the register, each compared with its expected effect.
 
 use cloverhollow_out::*;
 use proptest::prelude::*;
@@ -7,19 +7,19 @@
 use std::collections::BTreeSet;
 
 #[derive(Clone, Debug)]
-enum Cmd {
+enum Command {
     Grant(u64, u64, Option<u64>),
-    GiveBack(u64, u64),
-    Lapse(usize),
-    Start(u64, u64, bool),
-    Drive(u64, bool),
-    Step(u64, ReleaseEvent),
-    Halt,
+    ReturnPermit(u64, u64),
+    RemoveExpired(usize),
+    StartRelease(u64, u64, bool),
+    DriveRelease(u64, bool),
+    AdvanceRelease(u64, ReleaseEvent),
+    HaltRelease,
 }
 
-/// What should be is read off the value before each command.
+/// The expected effect is derived from the value before each command, so the reference model has no state.
 #[derive(Clone, Debug, Default)]
-struct Holders;
+struct NoModel;
 
 fn event() -> impl Strategy<Value = ReleaseEvent> {
     prop_oneof![
@@ -31,137 +31,154 @@
     ]
 }
 
-impl ReferenceStateMachine for Holders {
-    type State = Holders;
-    type Transition = Cmd;
+impl ReferenceStateMachine for NoModel {
+    type State = NoModel;
+    type Transition = Command;
 
-    fn init_state() -> BoxedStrategy<Holders> {
-        Just(Holders).boxed()
+    fn init_state() -> BoxedStrategy<NoModel> {
+        Just(NoModel).boxed()
     }
 
-    fn transitions(_: &Holders) -> BoxedStrategy<Cmd> {
-        let (who, life) = (0u64..6, 1u64..4);
+    fn transitions(_: &NoModel) -> BoxedStrategy<Command> {
+        let (front, incarnation) = (0u64..6, 1u64..4);
         prop_oneof![
-            4 => (who.clone(), life.clone(), proptest::option::of(1u64..4))
-                .prop_map(|(w, l, r)| Cmd::Grant(w, l, r)),
-            2 => (who, life.clone()).prop_map(|(w, l)| Cmd::GiveBack(w, l)),
-            1 => (0usize..4).prop_map(Cmd::Lapse),
-            1 => (life.clone(), 1u64..4, any::<bool>()).prop_map(|(l, n, b)| Cmd::Start(l, n, b)),
-            2 => (life.clone(), any::<bool>()).prop_map(|(l, lapsed)| Cmd::Drive(l, lapsed)),
-            4 => (life, event()).prop_map(|(l, e)| Cmd::Step(l, e)),
-            1 => Just(Cmd::Halt),
+            4 => (front.clone(), incarnation.clone(), proptest::option::of(1u64..4))
+                .prop_map(|(f, l, r)| Command::Grant(f, l, r)),
+            2 => (front, incarnation.clone()).prop_map(|(f, l)| Command::ReturnPermit(f, l)),
+            1 => (0usize..4).prop_map(Command::RemoveExpired),
+            1 => (incarnation.clone(), 1u64..4, any::<bool>())
+                .prop_map(|(l, n, b)| Command::StartRelease(l, n, b)),
+            2 => (incarnation.clone(), any::<bool>()).prop_map(|(l, e)| Command::DriveRelease(l, e)),
+            4 => (incarnation, event()).prop_map(|(l, e)| Command::AdvanceRelease(l, e)),
+            1 => Just(Command::HaltRelease),
         ]
         .boxed()
     }
 
-    fn apply(state: Holders, _: &Cmd) -> Holders {
+    fn apply(state: NoModel, _: &Command) -> NoModel {
         state
     }
 }
 
-struct Drawn {
+struct RegisterUnderTest {
     register: Register,
-    ask: u32,
+    request_id: u32,
     fences: BTreeSet<Term>,
 }
 
-const MOST: usize = 3;
+const MAX_OUT: usize = 3;
 
-impl Drawn {
-    fn change(&mut self, me: u64, change: &Change, lapsed: bool) -> Result<Applied, DenialReason> {
-        self.ask += 1;
-        let most = MaxOutOfService { fleet: MOST as u16, zone: MOST as u16, rack: 9 };
+impl RegisterUnderTest {
+    fn change(&mut self, holder: u64, change: &Change, is_expired: bool) -> Result<Applied, DenialReason> {
+        self.request_id += 1;
+        let max = MaxOutOfService { fleet: MAX_OUT as u16, zone: MAX_OUT as u16, rack: 9 };
         let limits = Limits {
-            fronts: most,
-            servers: most,
+            fronts: max,
+            servers: max,
             cells_per_title: 0,
             ring_cells: 0,
             free_link_kbit_s: None,
             max_uncertain_ms: 1,
         };
-        let (world, before) = (FleetView::default(), self.register.clone());
-        let over = before.release.filter(|_| lapsed).map(|r| r.lease_id()).into_iter().collect();
+        let (fleet, before) = (FleetView::default(), self.register.clone());
+        let expired = before.release.filter(|_| is_expired).map(|r| r.lease_id()).into_iter().collect();
         let mut value = before.clone();
-        let seen = GrantContext { fleet: &world, limits: &limits };
-        let came = value.apply((me, self.ask), change, &over, seen);
-        match came {
+        let context = GrantContext { fleet: &fleet, limits: &limits };
+        let result = value.apply((holder, self.request_id), change, &expired, context);
+        match result {
             Ok(Applied::Changed) => {
-                assert_eq!(value.term, Term(before.term.0 + 1), "a change is a term");
-                // The same ask once more changes nothing of what it made.
-                let mut again = value.clone();
-                assert!(again.apply((me, self.ask), change, &over, seen).is_ok());
-                assert_eq!(again.permits, value.permits, "made twice is made once");
-                assert_eq!(again.release, value.release, "made twice is made once");
+                assert_eq!(value.term, Term(before.term.0 + 1), "each change increases the term by one");
+                // The same request applied again has no further effect.
+                let mut repeated = value.clone();
+                assert!(repeated.apply((holder, self.request_id), change, &expired, context).is_ok());
+                assert_eq!(repeated.permits, value.permits, "a request applied twice takes effect once");
+                assert_eq!(repeated.release, value.release, "a request applied twice takes effect once");
             }
-            _ => assert_eq!(value, before, "what is not made changes nothing"),
+            _ => assert_eq!(value, before, "a denied change leaves the register unchanged"),
         }
         self.register = value;
-        came
+        result
     }
 }
 
-impl StateMachineTest for Drawn {
-    type SystemUnderTest = Drawn;
-    type Reference = Holders;
+impl StateMachineTest for RegisterUnderTest {
+    type SystemUnderTest = RegisterUnderTest;
+    type Reference = NoModel;
 
-    fn init_test(_: &Holders) -> Drawn {
-        Drawn { register: Register::default(), ask: 0, fences: BTreeSet::new() }
+    fn init_test(_: &NoModel) -> RegisterUnderTest {
+        RegisterUnderTest { register: Register::default(), request_id: 0, fences: BTreeSet::new() }
     }
 
-    fn apply(mut sut: Drawn, _: &Holders, cmd: Cmd) -> Drawn {
+    fn apply(mut sut: RegisterUnderTest, _: &NoModel, command: Command) -> RegisterUnderTest {
         let before = sut.register.clone();
-        match cmd {
-            Cmd::Grant(who, me, release) => {
-                let subject = Subject::Front(who);
+        match command {
+            Command::Grant(front, holder, release) => {
+                let subject = Subject::Front(front);
                 let grant = Change::Grant { subject, place: Place::default(), lease_ms: 1_000, release };
-                let came = sut.change(me, &grant, false);
-                let had = before.permits.iter().find(|p| p.subject == subject);
+                let result = sut.change(holder, &grant, false);
+                let existing = before.permits.iter().find(|p| p.subject == subject);
                 let stage = before.release.filter(|r| Some(r.number) == release).map(|r| r.stage);
-                let goes = matches!(stage, Some(Stage::Canary | Stage::Wave(_) | Stage::RollingBack));
-                match had {
-                    Some(p) => assert_eq!(came.is_ok(), p.holder == me),
+                let permits_allowed =
+                    matches!(stage, Some(Stage::Canary | Stage::Wave(_) | Stage::RollingBack));
+                match existing {
+                    Some(p) => assert_eq!(result.is_ok(), p.holder == holder),
                     None => {
-                        assert_eq!(came.is_ok(), before.permits.len() < MOST && (release.is_none() || goes))
+                        assert_eq!(
+                            result.is_ok(),
+                            before.permits.len() < MAX_OUT && (release.is_none() || permits_allowed)
+                        )
                     }
                 }
             }
-            Cmd::GiveBack(who, me) => {
-                let change = Change::ReturnPermit { subject: Subject::Front(who) };
-                assert!(sut.change(me, &change, false).is_ok());
+            Command::ReturnPermit(front, holder) => {
+                let change = Change::ReturnPermit { subject: Subject::Front(front) };
+                assert!(sut.change(holder, &change, false).is_ok());
             }
-            Cmd::Lapse(n) => {
+            Command::RemoveExpired(n) => {
                 let id = sut.register.permits.get(n).map(Permit::lease_id);
                 sut.register.remove_expired(&id.into_iter().collect());
-                let other = LeaseId { subject: None, holder: 0, request_id: 0 };
-                sut.register.remove_expired(&BTreeSet::from([other]));
+                let unknown = LeaseId { subject: None, holder: 0, request_id: 0 };
+                sut.register.remove_expired(&BTreeSet::from([unknown]));
                 assert_eq!(sut.register.permits.len(), before.permits.len() - usize::from(id.is_some()));
             }
-            Cmd::Start(me, number, is_rollback) => {
+            Command::StartRelease(holder, number, is_rollback) => {
                 let start = Change::StartRelease { number, plan_digest: 5, is_rollback, lease_ms: 1_000 };
-                if sut.change(me, &start, false).is_ok() {
-                    assert!(before.release.is_none_or(|r| r.number < number), "numbers only rise");
-                    assert!(sut.fences.insert(sut.register.release.unwrap().fence), "a fence of its own");
+                if sut.change(holder, &start, false).is_ok() {
+                    assert!(
+                        before.release.is_none_or(|r| r.number < number),
+                        "release numbers only increase"
+                    );
+                    assert!(
+                        sut.fences.insert(sut.register.release.unwrap().fence),
+                        "the fencing token is unique"
+                    );
                 }
             }
-            Cmd::Drive(me, lapsed) => {
-                let came =
-                    sut.change(me, &Change::DriveRelease { plan_digests: [5, 6], lease_ms: 1_000 }, lapsed);
-                let (Ok(_), Some(r), Some(now)) = (came, before.release, sut.register.release) else {
+            Command::DriveRelease(holder, is_expired) => {
+                let result = sut.change(
+                    holder,
+                    &Change::DriveRelease { plan_digests: [5, 6], lease_ms: 1_000 },
+                    is_expired,
+                );
+                let (Ok(_), Some(r), Some(current)) = (result, before.release, sut.register.release) else {
                     return sut;
                 };
-                assert_eq!(r.fence == now.fence, r.driver == me && !lapsed);
-                assert!(r.fence == now.fence || sut.fences.insert(now.fence), "a fence of its own");
+                assert_eq!(r.fence == current.fence, r.driver == holder && !is_expired);
+                assert!(
+                    r.fence == current.fence || sut.fences.insert(current.fence),
+                    "the fencing token is unique"
+                );
             }
-            Cmd::Step(me, event) => {
+            Command::AdvanceRelease(holder, event) => {
                 let Some(r) = before.release else { return sut };
                 let step = Change::AdvanceRelease { fence: r.fence, from: r.stage, event, last_wave: 2 };
-                let came = sut.change(me, &step, false);
+                let result = sut.change(holder, &step, false);
                 let to = next_stage(r.stage, event, 2);
-                assert_eq!(came.is_ok(), r.driver == me && to.is_some());
-                let now = sut.register.release.unwrap().stage;
-                assert_eq!(now, to.filter(|_| came.is_ok()).unwrap_or(r.stage));
+                assert_eq!(result.is_ok(), r.driver == holder && to.is_some());
+                let current = sut.register.release.unwrap().stage;
+                assert_eq!(current, to.filter(|_| result.is_ok()).unwrap_or(r.stage));
             }
-            Cmd::Halt => {
+            Command::HaltRelease => {
                 let number = before.release.map_or(0, |r| r.number);
                 let _ = sut.change(9, &Change::HaltRelease { number, cause: HaltCause::Operator }, false);
             }
@@ -169,9 +186,9 @@
         sut
     }
 
-    fn check_invariants(sut: &Drawn, _: &Holders) {
+    fn check_invariants(sut: &RegisterUnderTest, _: &NoModel) {
         sut.register.check_invariants().unwrap();
-        assert!(sut.register.permits.len() <= MOST);
+        assert!(sut.register.permits.len() <= MAX_OUT);
     }
 }
 
@@ -184,5 +201,5 @@
     #![proptest_config(config(128))]
 
     #[test]
-    fn the_register_under_drawn_commands(sequential 1..60 => Drawn);
+    fn register_keeps_its_invariants_under_random_commands(sequential 1..60 => RegisterUnderTest);
 }
--- a/crates/out/tests/settings.rs
+++ b/crates/out/tests/settings.rs
@@ -1,4 +1,4 @@
-//! A release of settings over a small fleet: staged at all, checked at all, then taken.
+//! A release of settings over a small fleet: staged and checked at all fronts, then activated.
 
 use cloverhollow_out::*;
 use std::collections::BTreeMap;
@@ -8,8 +8,8 @@
     Generation { number, digest: number * 10 }
 }
 
-fn settings() -> Plan {
-    let most = MaxOutOfService { fleet: 2, zone: 2, rack: 2 };
+fn settings_plan() -> Plan {
+    let max = MaxOutOfService { fleet: 2, zone: 2, rack: 2 };
     Plan {
         number: 1,
         target: ReleaseTarget::Settings { generation: 2, digest: 20 },
@@ -17,8 +17,8 @@
         canaries: 1,
         waves: vec![Wave { zone: None, share_permille: 500 }],
         limits: Limits {
-            fronts: most,
-            servers: most,
+            fronts: max,
+            servers: max,
             cells_per_title: 0,
             ring_cells: 0,
             free_link_kbit_s: None,
@@ -36,110 +36,111 @@
 struct Fleet {
     now: Duration,
     register: Register,
-    asks: u32,
+    requests: u32,
     driver: Driver,
     fronts: Vec<StagedConfig>,
-    away: Option<usize>,
-    bad: bool,
+    silent_front: Option<usize>,
+    bad_text: bool,
     stages: Vec<Stage>,
 }
 
 impl Fleet {
     fn new(fronts: u64) -> Fleet {
         let now = Duration::from_secs(100);
-        let mut driver = Driver::new(now, 1, settings(), 10_000, 0, Duration::from_secs(5));
+        let mut driver = Driver::new(now, 1, settings_plan(), 10_000, 0, Duration::from_secs(5));
         driver.start_release();
         driver.set_forecast(true);
-        let fronts = (0..fronts).map(|n| StagedConfig::new(n, generation(1))).collect();
+        let fronts = (0..fronts).map(|name| StagedConfig::new(name, generation(1))).collect();
         let (register, stages) = (Register::default(), Vec::new());
-        Fleet { now, register, asks: 0, driver, fronts, away: None, bad: false, stages }
+        Fleet { now, register, requests: 0, driver, fronts, silent_front: None, bad_text: false, stages }
     }
 
     fn change(&mut self, change: &Change) {
-        self.asks += 1;
-        let (world, limits) = (FleetView::default(), settings().limits);
-        let seen = GrantContext { fleet: &world, limits: &limits };
-        let came = self.register.apply((1, self.asks), change, &Default::default(), seen);
-        let until = self.now + Duration::from_secs(10);
-        let granted =
-            self.register.release.map(|r| GrantedLease { lease_id: r.lease_id(), expires_at: until });
-        let outcome = came.map(|_| Outcome::Committed(self.register.clone(), granted));
+        self.requests += 1;
+        let (fleet_view, limits) = (FleetView::default(), settings_plan().limits);
+        let context = GrantContext { fleet: &fleet_view, limits: &limits };
+        let applied = self.register.apply((1, self.requests), change, &Default::default(), context);
+        let expires_at = self.now + Duration::from_secs(10);
+        let granted = self.register.release.map(|r| GrantedLease { lease_id: r.lease_id(), expires_at });
+        let outcome = applied.map(|_| Outcome::Committed(self.register.clone(), granted));
         self.driver.handle_outcome(self.now, outcome.unwrap_or_else(Outcome::Denied));
     }
 
-    fn second(&mut self) {
+    fn run_one_second(&mut self) {
         self.now += Duration::from_secs(1);
         let mut reports = BTreeMap::new();
-        for (n, f) in self.fronts.iter().enumerate() {
+        for (name, front) in self.fronts.iter().enumerate() {
             let report = FrontReport {
                 place: Place::default(),
-                received_at: if self.away == Some(n) { Duration::ZERO } else { self.now },
-                running: f.active().digest,
-                newest_staged: f.newest_staged(),
-                staging_failed: self.bad && n == 2 && f.missing_text().is_some(),
+                received_at: if self.silent_front == Some(name) { Duration::ZERO } else { self.now },
+                running: front.active().digest,
+                newest_staged: front.newest_staged(),
+                staging_failed: self.bad_text && name == 2 && front.missing_text().is_some(),
                 service_state: ServiceState::Serving,
                 restart_pending: false,
                 permit_wait: None,
                 failed_restarts: 0,
                 rule_violated: false,
                 paid: Tally::default(),
-                fence: f.fence(),
+                fence: front.fence(),
             };
-            reports.insert(n as u64, report);
+            reports.insert(name as u64, report);
         }
-        for what in self.driver.step(self.now, &reports, &FleetView::default()) {
-            match what {
+        for action in self.driver.step(self.now, &reports, &FleetView::default()) {
+            match action {
                 DriverAction::Submit(change) => self.change(&change),
-                DriverAction::Send(n, act) => drop(self.fronts[n as usize].handle_order(act)),
+                DriverAction::Send(name, order) => drop(self.fronts[name as usize].handle_order(order)),
             }
         }
-        for (n, f) in self.fronts.iter_mut().enumerate() {
-            // One fetches its text late.
-            if let Some(g) = f.missing_text().filter(|_| n != 1 || self.now > Duration::from_secs(110)) {
-                f.receive_text(g.number, g.digest, !(self.bad && n == 2));
+        for (name, front) in self.fronts.iter_mut().enumerate() {
+            // Front 1 fetches its text late.
+            if let Some(generation) =
+                front.missing_text().filter(|_| name != 1 || self.now > Duration::from_secs(110))
+            {
+                front.receive_text(generation.number, generation.digest, !(self.bad_text && name == 2));
             }
-            f.activate_pending();
-            f.check_invariants().unwrap();
+            front.activate_pending();
+            front.check_invariants().unwrap();
         }
         self.driver.check_invariants(self.now).unwrap();
         let stage = self.register.release.map(|r| r.stage);
-        self.stages.extend(stage.filter(|s| self.stages.last() != Some(s)));
+        self.stages.extend(stage.filter(|new_stage| self.stages.last() != Some(new_stage)));
     }
 }
 
 #[test]
-fn settings_are_staged_at_all_before_any_takes_them() {
+fn settings_are_staged_everywhere_before_any_front_activates_them() {
     let mut fleet = Fleet::new(6);
-    fleet.away = Some(4);
+    fleet.silent_front = Some(4);
     while fleet.register.release.is_none_or(|r| r.stage != Stage::Done) {
-        fleet.second();
-        let staged = |f: &StagedConfig| f.newest_staged() == Generation { number: 2, digest: 20 };
-        let some = fleet.fronts.iter().any(|f| f.active().number == 2);
-        assert!(!some || (0..6).filter(|n| *n != 4).all(|n| staged(&fleet.fronts[n])));
+        fleet.run_one_second();
+        let staged = |front: &StagedConfig| front.newest_staged() == Generation { number: 2, digest: 20 };
+        let any_active = fleet.fronts.iter().any(|front| front.active().number == 2);
+        assert!(!any_active || (0..6).filter(|name| *name != 4).all(|name| staged(&fleet.fronts[name])));
         assert!(fleet.now < Duration::from_secs(200), "{:?}", fleet.stages);
     }
     println!("{:?}", fleet.stages);
-    // The one that was away takes what holds now.
-    let (record, away) = (fleet.register.release.unwrap(), &mut fleet.fronts[4]);
-    assert_eq!(away.active().number, 1);
-    assert_eq!(settings().target_at(record.stage), Some(settings().target));
-    let holds = Generation { number: 2, digest: 20 };
-    away.catch_up(record.fence, record.number, holds).unwrap();
-    assert_eq!(away.activate_pending(), None, "not before it is checked");
-    assert!(away.receive_text(2, 20, true));
-    away.catch_up(record.fence, record.number, holds).unwrap();
-    assert_eq!(away.activate_pending(), Some(holds));
+    // The front that was silent activates the current generation.
+    let (record, silent_front) = (fleet.register.release.unwrap(), &mut fleet.fronts[4]);
+    assert_eq!(silent_front.active().number, 1);
+    assert_eq!(settings_plan().target_at(record.stage), Some(settings_plan().target));
+    let active = Generation { number: 2, digest: 20 };
+    silent_front.catch_up(record.fence, record.number, active).unwrap();
+    assert_eq!(silent_front.activate_pending(), None, "not activated before it is checked");
+    assert!(silent_front.receive_text(2, 20, true));
+    silent_front.catch_up(record.fence, record.number, active).unwrap();
+    assert_eq!(silent_front.activate_pending(), Some(active));
 }
 
 #[test]
-fn a_text_that_does_not_pass_halts_it_and_nobody_takes_it() {
+fn a_text_that_fails_its_checks_halts_the_release_and_is_never_activated() {
     let mut fleet = Fleet::new(5);
-    fleet.bad = true;
-    (0..30).for_each(|_| fleet.second());
+    fleet.bad_text = true;
+    (0..30).for_each(|_| fleet.run_one_second());
     assert_eq!(fleet.register.release.map(|r| r.stage), Some(Stage::Halted(HaltCause::Staging)));
-    assert!(fleet.fronts.iter().all(|f| f.active().number == 1));
-    fleet.bad = false;
+    assert!(fleet.fronts.iter().all(|front| front.active().number == 1));
+    fleet.bad_text = false;
     fleet.driver.start_rollback(fleet.now);
-    (0..30).for_each(|_| fleet.second());
+    (0..30).for_each(|_| fleet.run_one_second());
     assert_eq!(fleet.register.release.map(|r| r.stage), Some(Stage::RolledBack), "{:?}", fleet.stages);
 }
