--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -18,7 +18,7 @@
     shared: Arc<Shared>,
     status: Arc<side_endpoint::FrontStatus>,
 ) {
-    let connection_slots = Arc::new(Semaphore::new(shared.settings.listen.connections.count()));
+    let connection_slots = Arc::new(Semaphore::new(shared.settings.listen.max_connections.as_usize()));
     let rejection_slots = Arc::new(Semaphore::new(MAX_REJECTIONS));
     // Dropping this future drops the set, which aborts the connections' tasks.
     let mut connections = tokio::task::JoinSet::new();
--- a/crates/front/src/connection_pool.rs
+++ b/crates/front/src/connection_pool.rs
@@ -48,9 +48,9 @@
     pub(crate) fn new(settings: &Servers) -> Self {
         ConnectionPools {
             pools: papaya::HashMap::new(),
-            max_connections: settings.connections.count(),
-            connect_timeout: settings.connect_ms.get(),
-            idle_timeout: settings.idle_ms.get(),
+            max_connections: settings.max_connections.as_usize(),
+            connect_timeout: settings.connect_timeout_ms.get(),
+            idle_timeout: settings.idle_timeout_ms.get(),
         }
     }
 
--- a/crates/front/src/discovery.rs
+++ b/crates/front/src/discovery.rs
@@ -35,7 +35,7 @@
 /// discovery service together from reconnecting together.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let settings = &shared.settings.discovery;
-    let mut delay = settings.again_ms.get();
+    let mut delay = settings.min_retry_delay_ms.get();
     loop {
         let mut received = false;
         let error = run_stream(&shared, &mut received).await;
@@ -43,8 +43,11 @@
         if shared.event_tx.send(LoopEvent::list_update(ListUpdate::broken())).await.is_err() {
             return;
         }
-        delay =
-            if received { settings.again_ms.get() } else { (delay * 2).min(settings.again_most_ms.get()) };
+        delay = if received {
+            settings.min_retry_delay_ms.get()
+        } else {
+            (delay * 2).min(settings.max_retry_delay_ms.get())
+        };
         let jitter = 0.5 + fastrand::f64() / 2.0;
         tokio::time::sleep(delay.mul_f64(jitter)).await;
     }
@@ -59,7 +62,7 @@
 
 async fn read_stream(shared: &Shared, received: &mut bool) -> Result<(), StreamError> {
     let settings = &shared.settings.discovery;
-    let silence_limit: Duration = settings.silent_ms.get();
+    let silence_limit: Duration = settings.silence_timeout_ms.get();
     let within = |d| timeout(silence_limit, d);
     let conn = within(connect(settings.address)).await.map_err(|_| StreamError::TimedOut)?;
     let mut conn = conn.map_err(StreamError::Connect)?;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -95,7 +95,7 @@
     },
     /// Another process of this front is running. Two processes would each spend the whole of every budget.
     #[error("keep.file: {0}")]
-    AlreadyRunning(#[from] cloverhollow_store::PaperError),
+    AlreadyRunning(#[from] cloverhollow_store::LogFileError),
 }
 
 /// A running front.
@@ -130,7 +130,7 @@
         let loaded = persistence::load(&settings).await;
         let recovery = log_recovery::replay(&settings, log_file, loaded.existed);
         let listener = bind("listen.address", settings.listen.address).await?;
-        let side_listener = match settings.side.address {
+        let side_listener = match settings.admin.address {
             Some(address) => Some(bind("side.address", address).await?),
             None => None,
         };
@@ -163,14 +163,14 @@
         // Persisted state is queued before any request can be: the event loop handles its events in order.
         let now = clock.now();
         let (trust, restart_delay) = (recovery.recovered.trust, recovery.restart_delay);
-        status.set_previous_incarnations(trust.words(), restart_delay.deaths, now + restart_delay.hold);
-        if !restart_delay.hold.is_zero() {
-            let (deaths, hold_ms) = (restart_delay.deaths, restart_delay.hold.as_millis() as u64);
+        status.set_previous_incarnations(trust.describe(), restart_delay.crashes, now + restart_delay.delay);
+        if !restart_delay.delay.is_zero() {
+            let (deaths, hold_ms) = (restart_delay.crashes, restart_delay.delay.as_millis() as u64);
             tracing::warn!(deaths, hold_ms, "repeated crashes: no viewers are accepted for a while");
         }
         let wall_clock_offset = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
         let _ = shared.event_tx.send(LoopEvent::from_input(Input::ClockOffset(wall_clock_offset))).await;
-        if trust != Trust::First {
+        if trust != Trust::FirstStart {
             let _ = shared
                 .event_tx
                 .send(LoopEvent::from_input(Input::Recovered(Box::new(recovery.recovered))))
@@ -195,7 +195,10 @@
         tasks.spawn(run_until(stop.clone(), discovery::run(shared.clone())));
         let has_peers = !settings.peers.addresses.is_empty();
         if has_peers {
-            status.set_level(cloverhollow_knowledge::Level::Warming, cloverhollow_knowledge::Why::Asking);
+            status.set_level(
+                cloverhollow_knowledge::KnowledgeLevel::Warming,
+                cloverhollow_knowledge::LevelReason::RequestsPending,
+            );
         }
         tasks.spawn(run_until(
             stop.clone(),
@@ -207,7 +210,7 @@
             // Stops by itself: a write in progress is completed.
             tasks.spawn(out_of_service::persist(fleet.clone(), stop.clone()));
             // Stops by itself: it announces that the member leaves.
-            tasks.spawn(members::run(fleet, socket, settings.members.sync_ms.get(), stop.clone()));
+            tasks.spawn(members::run(fleet, socket, settings.members.sync_interval_ms.get(), stop.clone()));
         }
         if let Some(side_listener) = side_listener {
             tasks.spawn(run_until(
@@ -217,11 +220,12 @@
         }
         // Until then connections wait in the listener's queue. Guards against the first moments after a
         // restart, in which the persisted list may name servers that have drained since.
-        let max_wait = settings.peers.hold_ms.get();
+        let max_wait = settings.peers.max_hold_ms.get();
         let log = shared.log.clone();
         tasks.spawn(run_until(stop.clone(), async move {
             // Drain notices received by the previous incarnation may be lost; then the full list is awaited.
-            let _ = tokio::time::timeout(max_wait, status.wait_for_warm_start(trust.misses())).await;
+            let _ =
+                tokio::time::timeout(max_wait, status.wait_for_warm_start(trust.may_miss_records())).await;
             tokio::join!(
                 accept::accept(listener, shared.clone(), status.clone()),
                 out_of_service::enter_service_when_ready(shared, status)
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -15,7 +15,8 @@
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_members::{
-    Key, Life, Member, MemberSettings, Notice, Outgoing, Sure, SwimSettings, Who, MOST_BODY, MOST_DATAGRAM,
+    Incarnation, Key, Member, MemberConfig, MemberEvent, MemberId, MemberState, OutgoingDatagram, SwimConfig,
+    MAX_BODY_BYTES, MAX_DATAGRAM_BYTES,
 };
 use cloverhollow_net::{connect, unix_ms, Clock};
 use cloverhollow_session::{invariants_hold, INVARIANT_EXIT_CODE};
@@ -68,28 +69,28 @@
                 .map_err(|reason| StartError::InvalidKey { file: key.file.display().to_string(), reason })?;
             keys.push(Key { id: key.id.get() as u32, secret });
         }
-        let own_id = Who {
-            address: members.address.unwrap_or(bound),
-            side: side_address,
+        let own_id = MemberId {
+            address: members.advertised_address.unwrap_or(bound),
+            side_address,
             name: settings.instance.name.as_str().into(),
-            hall: settings.instance.hall.as_str().into(),
-            life: Life { number: unix_ms(), token: fastrand::u64(1..) },
+            zone: settings.instance.zone.as_str().into(),
+            incarnation: Incarnation { number: unix_ms(), token: fastrand::u64(1..) },
         };
-        let swim = SwimSettings {
-            probe: members.probe_ms.get(),
-            answer: members.answer_ms.get(),
-            suspicion: members.suspicion_ms.get(),
-            gossip: members.gossip_ms.get(),
-            heal: members.heal_ms.get(),
+        let swim = SwimConfig {
+            probe_interval: members.probe_interval_ms.get(),
+            probe_timeout: members.probe_timeout_ms.get(),
+            suspicion_timeout: members.suspicion_timeout_ms.get(),
+            gossip_interval: members.gossip_interval_ms.get(),
+            rejoin_interval: members.reconnect_interval_ms.get(),
             seeds: members.seeds.clone(),
-            ..SwimSettings::default()
+            ..SwimConfig::default()
         };
-        tracing::info!(address = %own_id.address, name = %own_id.name, life = %own_id.life, "starting as a member");
-        let member_settings = MemberSettings {
-            me: own_id,
+        tracing::info!(address = %own_id.address, name = %own_id.name, life = %own_id.incarnation, "starting as a member");
+        let member_settings = MemberConfig {
+            local_id: own_id,
             keys,
             swim,
-            lease: members.lease_ms.get(),
+            lease_duration: members.lease_duration_ms.get(),
             witnesses: members.witnesses.clone(),
             seed: fastrand::u64(..),
         };
@@ -97,8 +98,8 @@
         let permits = OutOfService::open(
             settings,
             clock.now(),
-            member_settings.me.address,
-            member_settings.me.life.token,
+            member_settings.local_id.address,
+            member_settings.local_id.incarnation.token,
         )
         .map(Mutex::new);
         let member = Mutex::new(Member::new(clock.now(), member_settings));
@@ -125,12 +126,12 @@
     /// Returns the number of fronts that the policy may assume now. Inner `None`: no lease count is in force.
     /// Outer `None`: there are no witnesses, and the number from the settings applies.
     pub(crate) fn fleet_size(&self) -> Option<Option<usize>> {
-        self.uses_witnesses.then(|| self.member().part().and_then(|p| p.at(self.clock.now())))
+        self.uses_witnesses.then(|| self.member().fleet_size().and_then(|p| p.valid_at(self.clock.now())))
     }
 
     /// Returns the address of a newer process with this front's name, if there is one.
     pub(crate) fn superseded_by(&self) -> Option<SocketAddr> {
-        self.member().stepped_back().map(|w| w.address)
+        self.member().replaced_by().map(|w| w.address)
     }
 
     /// Returns the full member list, sealed for the member that asked.
@@ -139,33 +140,36 @@
     }
 
     /// Logs the member's notices and returns the datagrams to send.
-    fn take_outgoing(&self) -> Vec<Outgoing> {
+    fn take_outgoing(&self) -> Vec<OutgoingDatagram> {
         let mut member = self.member();
-        for notice in member.take_notices() {
-            let name = &member.me().name;
+        for notice in member.take_events() {
+            let name = &member.local_id().name;
             match notice {
-                Notice::StoodStill(d) => {
+                MemberEvent::Stalled(d) => {
                     tracing::warn!(member = %name, ms = d.as_millis() as u64, "process was suspended: previous membership state is suspect")
                 }
-                Notice::Risen(who) => {
-                    tracing::warn!(member = %name, life = %who.life, "was declared dead by other members: continues as a new incarnation")
+                MemberEvent::IncarnationRaised(who) => {
+                    tracing::warn!(member = %name, life = %who.incarnation, "was declared dead by other members: continues as a new incarnation")
                 }
-                Notice::StepBack(who) => tracing::error!(
-                    member = %name, address = %who.address, life = %who.life,
+                MemberEvent::Replaced(who) => tracing::error!(
+                    member = %name, address = %who.address, life = %who.incarnation,
                     "a newer process has this front's name: this one accepts nothing new"
                 ),
             }
         }
-        member.take_out()
+        member.take_datagrams()
     }
 
     /// Returns the side address of a random live member, if one is known.
     fn random_peer(&self) -> Option<SocketAddr> {
         let member = self.member();
-        let own_address = member.me().address;
-        let live =
-            member.view().members.values().filter(|s| s.sure == Sure::There && s.who.address != own_address);
-        fastrand::choice(live.filter_map(|s| s.who.side).collect::<Vec<_>>())
+        let own_address = member.local_id().address;
+        let live = member
+            .view()
+            .members
+            .values()
+            .filter(|s| s.state == MemberState::Alive && s.id.address != own_address);
+        fastrand::choice(live.filter_map(|s| s.id.side_address).collect::<Vec<_>>())
     }
 
     /// Fetches and merges the full member list of a peer.
@@ -190,7 +194,7 @@
     let target = Target::parse(format!("{PATH}?{NONCE_ARG}={nonce}").into())?;
     let mut head = RequestHead::get(target);
     head.headers.push("host", peer.to_string());
-    let (head, body) = conn.exchange(head, Bytes::new(), MOST_BODY).await.ok()?;
+    let (head, body) = conn.exchange(head, Bytes::new(), MAX_BODY_BYTES).await.ok()?;
     (head.status == 200).then_some(body)
 }
 
@@ -204,11 +208,11 @@
     let clock = fleet.clock;
     let mut next_sync = clock.now() + fleet.sync_interval(interval).mul_f64(fastrand::f64());
     // One byte longer than the limit, so that an oversized datagram is recognised.
-    let mut buf = [0; MOST_DATAGRAM + 1];
+    let mut buf = [0; MAX_DATAGRAM_BYTES + 1];
     let mut active_sync = std::pin::pin!(None);
     loop {
         fleet.step_permits();
-        for Outgoing { to, bytes } in fleet.take_outgoing() {
+        for OutgoingDatagram { to, bytes } in fleet.take_outgoing() {
             // A full socket buffer or a refusing peer drops the datagram, as the network may.
             let _ = socket.try_send_to(&bytes, to);
         }
@@ -218,7 +222,7 @@
             () = fleet.signals.permit_work.notified() => {}
             received = socket.recv_from(&mut buf) => {
                 if let Ok((n, from)) = received {
-                    if let Err(error) = fleet.with_member(|m| m.datagram(clock.now(), &buf[..n])) {
+                    if let Err(error) = fleet.with_member(|m| m.handle_datagram(clock.now(), &buf[..n])) {
                         tracing::debug!(%from, %error, "datagram rejected");
                     }
                 }
@@ -239,7 +243,7 @@
         }
     }
     fleet.member().leave(clock.now());
-    for Outgoing { to, bytes } in fleet.take_outgoing() {
+    for OutgoingDatagram { to, bytes } in fleet.take_outgoing() {
         let _ = socket.try_send_to(&bytes, to);
     }
 }
--- a/crates/front/src/members/permits.rs
+++ b/crates/front/src/members/permits.rs
@@ -20,14 +20,15 @@
     pub(super) fn step_permits(&self) {
         let mut member = self.member();
         // Where permits are disabled the messages are dropped.
-        let messages = member.take_other();
+        let messages = member.take_application_messages();
         let Some(mut permits) = self.permits() else { return };
         let now = self.clock.now();
         permits.update_view(now, member.view());
         messages.iter().for_each(|bytes| permits.handle_datagram(now, bytes));
         permits.tick(now);
         for (to, message) in permits.take_outgoing(now) {
-            let queued = postcard::to_stdvec(&message).is_ok_and(|bytes| member.say_other(to, bytes));
+            let queued =
+                postcard::to_stdvec(&message).is_ok_and(|bytes| member.send_application_message(to, bytes));
             if !queued {
                 tracing::error!(%to, "permit message not sent: it does not fit into a datagram");
             }
--- a/crates/front/src/object.rs
+++ b/crates/front/src/object.rs
@@ -55,8 +55,9 @@
                 report_session_lost(route, shared).await;
                 return viewer_conn.fail(502, "unknown-session", shared).await;
             }
-            let settings = &shared.settings.reports;
-            let (interval, short_interval) = (settings.every_ms.get(), settings.short_every_ms.get());
+            let settings = &shared.settings.load_reports;
+            let (interval, short_interval) =
+                (settings.interval_ms.get(), settings.short_delivery_interval_ms.get());
             if let Some(load) =
                 route.report_throttle.take_due(shared.clock.now(), hints.load, interval, short_interval)
             {
@@ -71,7 +72,7 @@
             relay(viewer_conn, head, hints, server_conn, Some(route), started_at, shared).await
         }
         Err(FetchError::PoolExhausted) => {
-            viewer_conn.refuse(shared.settings.limits.hold_off_ms.get(), "front-full", shared).await
+            viewer_conn.refuse(shared.settings.limits.max_retry_after_ms.get(), "front-full", shared).await
         }
         Err(FetchError::Lost { timed_out }) => {
             report_session_lost(route, shared).await;
@@ -105,7 +106,7 @@
             server_conn.client().send_request(head, Bytes::new()).await?;
             server_conn.client().read_head().await
         };
-        match timeout(shared.settings.servers.object_ms.get(), exchange).await {
+        match timeout(shared.settings.servers.head_timeout_ms.get(), exchange).await {
             Ok(Ok(head)) => return Ok((head, server_conn)),
             Ok(Err(_)) if server_conn.reused => require_new = true,
             Ok(Err(_)) => return Err(FetchError::Lost { timed_out: false }),
@@ -130,10 +131,10 @@
     let mut relayed_head =
         ResponseHead { keep_alive: viewer_conn.keep_alive, ..ResponseHead::new(head.status, 0) };
     relayed_head.framing = head.framing;
-    relayed_head.headers = head.headers.without(cmsd::DYNAMIC);
-    relayed_head.headers.push(cmsd::DYNAMIC, hop.append_to(&hints.cmsd_path));
+    relayed_head.headers = head.headers.without(cmsd::DYNAMIC_HEADER);
+    relayed_head.headers.push(cmsd::DYNAMIC_HEADER, hop.append_to(&hints.cmsd_path));
     relayed_head.headers.push("via", shared.via.clone());
-    let write_timeout = shared.settings.listen.write_ms.get();
+    let write_timeout = shared.settings.listen.write_timeout_ms.get();
     let relay_body = async {
         viewer_conn.framed.feed(ResponseFrame::Head(relayed_head)).await?;
         loop {
@@ -146,7 +147,7 @@
                         .await
                         .map_err(|_| timeout_error())??;
                     let next = timeout(
-                        shared.settings.servers.body_ms.get(),
+                        shared.settings.servers.body_timeout_ms.get(),
                         server_conn.client().read_body_chunk(),
                     )
                     .await;
--- a/crates/front/src/out_of_service/fleet_state.rs
+++ b/crates/front/src/out_of_service/fleet_state.rs
@@ -17,7 +17,7 @@
 //! - A front that does not see a majority of the witnesses alive may be in the minority of a partition: its
 //!   view is uncertain.
 
-use cloverhollow_members::{Sure, View};
+use cloverhollow_members::{MemberState, MembershipView};
 use cloverhollow_out::{Availability, FleetView, MemberStatus, Place, Subject};
 use cloverhollow_settings::title_id;
 use std::collections::BTreeMap;
@@ -44,38 +44,38 @@
 }
 
 /// Returns true if a majority of the witnesses is alive.
-pub(super) fn sees_witness_majority(view: &View, witnesses: &[SocketAddr]) -> bool {
-    let is_live = |w: &&SocketAddr| view.members.get(w).is_some_and(|s| s.sure == Sure::There);
+pub(super) fn sees_witness_majority(view: &MembershipView, witnesses: &[SocketAddr]) -> bool {
+    let is_live = |w: &&SocketAddr| view.members.get(w).is_some_and(|s| s.state == MemberState::Alive);
     witnesses.iter().filter(is_live).count() > witnesses.len() / 2
 }
 
 /// Returns true if this incarnation reported that it accepts viewers.
-pub(super) fn is_ready(ready: &BTreeMap<SocketAddr, u64>, seen: &cloverhollow_members::Seen) -> bool {
-    ready.get(&seen.who.address) == Some(&seen.who.life.token)
+pub(super) fn is_ready(ready: &BTreeMap<SocketAddr, u64>, seen: &cloverhollow_members::KnownMember) -> bool {
+    ready.get(&seen.id.address) == Some(&seen.id.incarnation.token)
 }
 
 /// Returns the state of the fleet, with the newest incarnation of each front.
 pub(super) fn from_view(
     now: Duration,
-    view: &View,
+    view: &MembershipView,
     ready: &BTreeMap<SocketAddr, u64>,
     forget_after: Duration,
     uncertain_for: Duration,
 ) -> FleetView {
     let mut newest = BTreeMap::new();
     for seen in view.members.values() {
-        let entry = newest.entry(front_subject(&seen.who.name)).or_insert(seen);
-        if entry.who.life < seen.who.life {
+        let entry = newest.entry(front_subject(&seen.id.name)).or_insert(seen);
+        if entry.id.incarnation < seen.id.incarnation {
             *entry = seen;
         }
     }
     let is_remembered =
-        |s: &&cloverhollow_members::Seen| s.sure != Sure::Gone || now < s.since + forget_after;
+        |s: &&cloverhollow_members::KnownMember| s.state != MemberState::Down || now < s.since + forget_after;
     let remembered = newest.into_iter().filter(|(_, s)| is_remembered(s));
-    let member_status = |s: &cloverhollow_members::Seen| MemberStatus {
-        place: front_place(&s.who.hall),
-        availability: match s.sure {
-            Sure::There if !is_ready(ready, s) => Availability::OutOfService,
+    let member_status = |s: &cloverhollow_members::KnownMember| MemberStatus {
+        place: front_place(&s.id.zone),
+        availability: match s.state {
+            MemberState::Alive if !is_ready(ready, s) => Availability::OutOfService,
             sure => Availability::from(sure),
         },
         link_kbit_s: 0,
--- a/crates/front/src/out_of_service/messages.rs
+++ b/crates/front/src/out_of_service/messages.rs
@@ -6,7 +6,7 @@
 //! are disabled there, counts as out of service.
 
 use super::{fleet_state, OutOfService, MAX_QUERIED, QUERY_INTERVAL};
-use cloverhollow_members::{Sure, View};
+use cloverhollow_members::{MemberState, MembershipView};
 use cloverhollow_out::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -60,14 +60,17 @@
     }
 
     /// Updates the sets of live members that have and have not reported that they accept viewers.
-    pub(super) fn update_readiness(&mut self, view: &View) {
-        let live = |address: &SocketAddr| view.members.get(address).filter(|s| s.sure == Sure::There);
-        self.ready_incarnations
-            .retain(|address, incarnation| live(address).is_some_and(|s| s.who.life.token == *incarnation));
-        let others =
-            view.members.values().filter(|s| s.sure == Sure::There && s.who.address != self.own_address);
+    pub(super) fn update_readiness(&mut self, view: &MembershipView) {
+        let live = |address: &SocketAddr| view.members.get(address).filter(|s| s.state == MemberState::Alive);
+        self.ready_incarnations.retain(|address, incarnation| {
+            live(address).is_some_and(|s| s.id.incarnation.token == *incarnation)
+        });
+        let others = view
+            .members
+            .values()
+            .filter(|s| s.state == MemberState::Alive && s.id.address != self.own_address);
         let unconfirmed = others.filter(|s| !fleet_state::is_ready(&self.ready_incarnations, s));
-        self.unconfirmed = unconfirmed.map(|s| (s.who.address, s.who.life.token)).collect();
+        self.unconfirmed = unconfirmed.map(|s| (s.id.address, s.id.incarnation.token)).collect();
     }
 
     /// Queries some of the members that have not reported, if this front wants to leave.
--- a/crates/front/src/out_of_service/mod.rs
+++ b/crates/front/src/out_of_service/mod.rs
@@ -14,7 +14,7 @@
 pub use leave::LeaveOutcome;
 pub(crate) use leave::{enter_service_when_ready, persist, Signals};
 
-use cloverhollow_members::View;
+use cloverhollow_members::MembershipView;
 use cloverhollow_out::{
     Acceptor, FleetView, GrantContext, GrantedLease, InvariantViolation, Limits, MaxOutOfService, Message,
     Place, Proposer, ProposerConfig, Register, Subject, Term,
@@ -111,21 +111,21 @@
         own_address: SocketAddr,
         incarnation: u64,
     ) -> Option<OutOfService> {
-        let (permit_settings, members) = (&settings.out, &settings.members);
-        if !permit_settings.is_on() {
+        let (permit_settings, members) = (&settings.out_of_service, &settings.members);
+        if !permit_settings.is_enabled() {
             return None;
         }
         let file = PermitFile::from_settings(settings);
         let persisted = file.as_ref().map(PermitFile::read).unwrap_or_default();
-        let (lease, witnesses) = (permit_settings.lease_ms.get(), members.witnesses.clone());
+        let (lease, witnesses) = (permit_settings.permit_duration_ms.get(), members.witnesses.clone());
         let is_witness = witnesses.contains(&own_address);
         let front_limits = MaxOutOfService {
-            fleet: permit_settings.fleet.value as u16,
-            zone: permit_settings.hall.get() as u16,
+            fleet: permit_settings.max_in_fleet.value as u16,
+            zone: permit_settings.max_in_zone.get() as u16,
             rack: u16::MAX,
         };
         let no_servers = MaxOutOfService { fleet: 0, zone: 0, rack: 0 };
-        let max_uncertain_ms = members.suspicion_ms.get().as_millis() as u32;
+        let max_uncertain_ms = members.suspicion_timeout_ms.get().as_millis() as u32;
         let proposer_settings = ProposerConfig {
             address: own_address,
             incarnation,
@@ -138,9 +138,9 @@
             own_address,
             incarnation,
             subject: fleet_state::front_subject(settings.instance.name.as_str()),
-            place: fleet_state::front_place(settings.instance.hall.as_str()),
+            place: fleet_state::front_place(settings.instance.zone.as_str()),
             lease_duration: lease,
-            forget_after: permit_settings.forget_ms.get(),
+            forget_after: permit_settings.forget_after_ms.get(),
             witnesses,
             limits: Limits {
                 fronts: front_limits,
@@ -178,12 +178,12 @@
     }
 
     /// Evaluates the fleet, if the view has changed or the interval has passed.
-    pub(crate) fn update_view(&mut self, now: Duration, view: &View) {
-        if self.last_evaluation.is_some_and(|(number, at)| number == view.number && now < at + VIEW_INTERVAL)
+    pub(crate) fn update_view(&mut self, now: Duration, view: &MembershipView) {
+        if self.last_evaluation.is_some_and(|(number, at)| number == view.version && now < at + VIEW_INTERVAL)
         {
             return;
         }
-        self.last_evaluation = Some((view.number, now));
+        self.last_evaluation = Some((view.version, now));
         if self.list_received && fleet_state::sees_witness_majority(view, &self.witnesses) {
             self.last_certain_at = Some(now);
         }
--- a/crates/front/src/out_of_service/persistence.rs
+++ b/crates/front/src/out_of_service/persistence.rs
@@ -9,8 +9,8 @@
 use super::OutOfService;
 use crate::clock::current_boot;
 use cloverhollow_out::{Acceptor, PersistedState};
-use cloverhollow_settings::{FrontSettings, Outlives};
-use cloverhollow_store::beside;
+use cloverhollow_settings::{Durability, FrontSettings};
+use cloverhollow_store::sibling_path;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -46,8 +46,8 @@
 
 impl PermitFile {
     pub(super) fn from_settings(settings: &FrontSettings) -> Option<PermitFile> {
-        let path = beside(settings.keep.file.as_deref()?, ".out");
-        Some(PermitFile { path, sync: settings.keep.outlives == Outlives::Machine })
+        let path = sibling_path(settings.persistence.file.as_deref()?, ".out");
+        Some(PermitFile { path, sync: settings.persistence.durability == Durability::Machine })
     }
 
     /// Reads the state of the previous incarnation.
@@ -76,7 +76,7 @@
 
     /// Writes a new file beside the old one and renames it into place.
     pub(super) fn write(&self, state: &PermitState) -> std::io::Result<()> {
-        let new_path = beside(&self.path, ".new");
+        let new_path = sibling_path(&self.path, ".new");
         let mut file = std::fs::File::create(&new_path)?;
         file.write_all(&serde_json::to_vec(state)?)?;
         if self.sync {
--- a/crates/front/src/out_of_service/status_page.rs
+++ b/crates/front/src/out_of_service/status_page.rs
@@ -1,18 +1,18 @@
 //! Operators' status page of permits.
 
 use super::{fleet_state, OutOfService};
-use cloverhollow_members::View;
+use cloverhollow_members::MembershipView;
 use cloverhollow_out::{Availability, MemoryState};
 use serde_json::{json, Value};
 use std::time::Duration;
 
 impl OutOfService {
     /// Returns the last known register, the fronts that count as out of service, and this front's own state.
-    pub(crate) fn status_page(&self, now: Duration, view: &View) -> Value {
+    pub(crate) fn status_page(&self, now: Duration, view: &MembershipView) -> Value {
         let millis = |d: Duration| d.as_millis() as u64;
         let name = |subject| {
-            let member = view.members.values().find(|s| fleet_state::front_subject(&s.who.name) == subject);
-            member.map_or_else(|| fleet_state::format_subject(subject), |s| s.who.name.to_string())
+            let member = view.members.values().find(|s| fleet_state::front_subject(&s.id.name) == subject);
+            member.map_or_else(|| fleet_state::format_subject(subject), |s| s.id.name.to_string())
         };
         let permits = self.last_register.iter().flat_map(|(_, r)| &r.permits).map(|p| {
             json!({"name": name(p.subject), "subject": fleet_state::format_subject(p.subject), "term": p.term.0,
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -1,6 +1,6 @@
 //! Exchange of knowledge with peers: a warm start, then periodic deltas.
 //!
-//! [`Warmer`] decides which peer to ask and when. This module sends the requests over HTTP to the peers' side
+//! [`WarmStart`] decides which peer to ask and when. This module sends the requests over HTTP to the peers' side
 //! addresses and passes the responses to the event loop. A request is limited by `peers.deadline_ms`; a
 //! transfer that is cut off resumes where it stopped (RFC 9110, section 14, by range and entity tag).
 //! Dropping the task drops its requests.
@@ -10,8 +10,8 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{RequestHead, ResponseHead, Target};
-use cloverhollow_knowledge::wire::{Message, FORMAT, MOST_BYTES};
-use cloverhollow_knowledge::{Ask, Level, MergeError, WarmSettings, Warmer};
+use cloverhollow_knowledge::wire::{Message, FORMAT, MAX_MESSAGE_BYTES};
+use cloverhollow_knowledge::{KnowledgeLevel, MergeError, PeerRequest, WarmStart, WarmStartConfig};
 use cloverhollow_net::{connect, WireError};
 use cloverhollow_session::{Input, PeerStatus};
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
     shared: Arc<Shared>,
     status: Arc<FrontStatus>,
     own_address: Option<SocketAddr>,
-    warmer: Warmer,
+    warmer: WarmStart,
     /// Sequence number of the last change received from each peer; its next delta starts there.
     last_seq: BTreeMap<SocketAddr, u64>,
     requests: JoinSet<(SocketAddr, PeerReply)>,
@@ -65,17 +65,22 @@
     mut merge_outcomes: mpsc::Receiver<MergeOutcome>,
 ) {
     let settings = &shared.settings.peers;
-    let warm_settings = WarmSettings {
-        parallel: settings.parallel.count(),
-        enough: settings.enough.count(),
-        hedge: settings.hedge_ms.get(),
-        deadline: settings.deadline_ms.get(),
-        jitter: settings.jitter_ms.get(),
-        horizon: settings.horizon_ms.get(),
+    let warm_settings = WarmStartConfig {
+        max_parallel: settings.parallel.as_usize(),
+        required_warm_answers: settings.sufficient_answers.as_usize(),
+        hedge_delay: settings.hedge_delay_ms.get(),
+        deadline: settings.warm_start_timeout_ms.get(),
+        max_jitter: settings.max_jitter_ms.get(),
+        horizon: settings.max_age_ms.get(),
     };
-    let warmer =
-        Warmer::new(shared.clock.now(), warm_settings, fastrand::u64(..), own_address, &settings.addresses);
-    let delta_interval = Some(settings.every_ms.get()).filter(|interval| !interval.is_zero());
+    let warmer = WarmStart::new(
+        shared.clock.now(),
+        warm_settings,
+        fastrand::u64(..),
+        own_address,
+        &settings.addresses,
+    );
+    let delta_interval = Some(settings.poll_interval_ms.get()).filter(|interval| !interval.is_zero());
     let mut exchange = PeerExchange {
         status,
         own_address,
@@ -88,14 +93,14 @@
     loop {
         exchange.publish_level();
         let now = shared.clock.now();
-        for request in exchange.warmer.due(now) {
+        for request in exchange.warmer.poll(now) {
             exchange.send_request(request, None);
         }
         if delta_interval.is_some_and(|_| now >= next_delta) {
             next_delta = now + delta_interval.unwrap_or_default();
             exchange.request_delta();
         }
-        let wake_at = exchange.warmer.next_due().into_iter().chain(delta_interval.map(|_| next_delta)).min();
+        let wake_at = exchange.warmer.next_poll().into_iter().chain(delta_interval.map(|_| next_delta)).min();
         let wake_at = wake_at.unwrap_or(now + Duration::from_secs(3600));
         tokio::select! {
             () = sleep_until(shared.clock.instant(wake_at)) => {}
@@ -109,16 +114,16 @@
     fn publish_level(&self) {
         let (level, reason) = self.warmer.level();
         if self.status.set_level(level, reason) {
-            tracing::info!(level = level.word(), why = reason.words(), "warm-up level changed");
+            tracing::info!(level = level.as_str(), why = reason.as_str(), "warm-up level changed");
         }
         self.status.add_peers(self.warmer.peers().collect());
     }
 
-    fn send_request(&mut self, request: Ask, after: Option<u64>) {
+    fn send_request(&mut self, request: PeerRequest, after: Option<u64>) {
         self.shared.stats.peer_requests.fetch_add(1, Relaxed);
         let (shared, own_address) = (self.shared.clone(), self.own_address);
         self.requests.spawn(async move {
-            let deadline = shared.settings.peers.deadline_ms.get();
+            let deadline = shared.settings.peers.warm_start_timeout_ms.get();
             let reply = timeout(deadline, fetch_message(&shared, own_address, request, after)).await;
             (request.peer, reply.unwrap_or(PeerReply::Failed))
         });
@@ -126,13 +131,13 @@
 
     /// Asks a random peer for its changes since the last request.
     fn request_delta(&mut self) {
-        if self.warmer.level().0 == Level::Warming || !self.requests.is_empty() {
+        if self.warmer.level().0 == KnowledgeLevel::Warming || !self.requests.is_empty() {
             return;
         }
         let candidates: Vec<SocketAddr> = self.warmer.peers().collect();
         if let Some(peer) = fastrand::choice(candidates.iter()) {
             let after = self.last_seq.get(peer).copied();
-            self.send_request(Ask { peer: *peer, nonce: fastrand::u64(1..) }, after);
+            self.send_request(PeerRequest { peer: *peer, nonce: fastrand::u64(1..) }, after);
         }
     }
 
@@ -142,11 +147,11 @@
                 let input = Input::PeerMessage { peer, requested_at, nonce, message };
                 let _ = self.shared.event_tx.send(LoopEvent::from_input(input)).await;
             }
-            PeerReply::Busy(after) => self.warmer.busy(self.shared.clock.now(), peer, after),
+            PeerReply::Busy(after) => self.warmer.on_busy(self.shared.clock.now(), peer, after),
             PeerReply::Failed => {
                 // The peer may have restarted, with its own sequence numbers.
                 self.last_seq.remove(&peer);
-                self.warmer.failed(peer);
+                self.warmer.on_failure(peer);
             }
         }
     }
@@ -155,12 +160,12 @@
         match outcome {
             Ok(peer_status) => {
                 self.last_seq.insert(peer, peer_status.seq);
-                self.warmer.learn(&peer_status.peers);
-                self.warmer.answered(peer, peer_status.level);
+                self.warmer.add_peers(&peer_status.peers);
+                self.warmer.on_answer(peer, peer_status.level);
             }
             Err(_) => {
                 self.last_seq.remove(&peer);
-                self.warmer.failed(peer);
+                self.warmer.on_failure(peer);
             }
         }
     }
@@ -170,7 +175,7 @@
 async fn fetch_message(
     shared: &Shared,
     own_address: Option<SocketAddr>,
-    request: Ask,
+    request: PeerRequest,
     after: Option<u64>,
 ) -> PeerReply {
     let requested_at = shared.clock.now();
@@ -202,7 +207,7 @@
 async fn exchange_once(
     shared: &Shared,
     own_address: Option<SocketAddr>,
-    request: Ask,
+    request: PeerRequest,
     after: Option<u64>,
     bytes: &mut Vec<u8>,
     etag: &mut Option<String>,
@@ -236,9 +241,9 @@
             return Err(invalid_data("request refused"));
         }
     }
-    *etag = head.headers.text("etag").map(str::to_string);
+    *etag = head.headers.get_str("etag").map(str::to_string);
     while let Some(data) = conn.read_body_chunk().await? {
-        if bytes.len() + data.len() > MOST_BYTES {
+        if bytes.len() + data.len() > MAX_MESSAGE_BYTES {
             *etag = None;
             return Err(invalid_data("message too long"));
         }
@@ -248,7 +253,7 @@
 }
 
 fn retry_after(head: &ResponseHead) -> Duration {
-    let number = |name: &str| head.headers.text(name).and_then(|t| t.parse::<u64>().ok());
+    let number = |name: &str| head.headers.get_str(name).and_then(|t| t.parse::<u64>().ok());
     let ms =
         number(RETRY_AFTER_MS_HEADER).or_else(|| number("retry-after").map(|s| s * 1000)).unwrap_or(1000);
     Duration::from_millis(ms.min(60_000))
--- a/crates/front/src/persistence.rs
+++ b/crates/front/src/persistence.rs
@@ -6,10 +6,10 @@
 //! costs the next start its copy.
 
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_knowledge::Level;
+use cloverhollow_knowledge::KnowledgeLevel;
 use cloverhollow_session::{ListUpdate, SavedList, SnapshotCell};
 use cloverhollow_settings::FrontSettings;
-use cloverhollow_store::{Keep, Kept};
+use cloverhollow_store::{PersistedState, Store};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -25,7 +25,7 @@
 /// Persisted state that is valid, with the open store.
 #[derive(Default)]
 pub(crate) struct Loaded {
-    pub(crate) store: Option<Keep>,
+    pub(crate) store: Option<Store>,
     /// True if the store existed, so that a previous incarnation has run.
     pub(crate) existed: bool,
     pub(crate) list: Option<ListUpdate>,
@@ -34,22 +34,22 @@
 
 /// Opens the store and reads the persisted state.
 pub(crate) async fn load(settings: &FrontSettings) -> Loaded {
-    let Some(path) = settings.keep.file.clone() else { return Loaded::default() };
-    let cold_period = settings.rules.cold_ms.get();
+    let Some(path) = settings.persistence.file.clone() else { return Loaded::default() };
+    let cold_period = settings.rules.warm_up_ms.get();
     let loading = spawn_blocking(move || {
         let file = path.display().to_string();
         let existed = path.exists();
-        let opened = match Keep::open(&path) {
+        let opened = match Store::open(&path) {
             Ok(opened) => opened,
             Err(error) => {
                 tracing::warn!(file, %error, "the store cannot be opened: nothing is persisted");
                 return Loaded { existed, ..Loaded::default() };
             }
         };
-        if let Some(aside) = opened.set_aside {
+        if let Some(aside) = opened.quarantined {
             tracing::warn!(file, aside = %aside.display(), "persisted state is corrupt; set aside");
         }
-        let persisted = opened.kept.unwrap_or_default();
+        let persisted = opened.state.unwrap_or_default();
         let list = std::str::from_utf8(&persisted.list).ok().filter(|t| !t.is_empty());
         let list = list.and_then(|text| match SavedList::read(text) {
             Ok(saved) => Some(saved.into_update(cold_period)),
@@ -59,7 +59,7 @@
             }
         });
         let knowledge = Message::decode(&persisted.knowledge).ok().map(Box::new);
-        Loaded { store: Some(opened.keep), existed, list, knowledge }
+        Loaded { store: Some(opened.store), existed, list, knowledge }
     });
     loading.await.unwrap_or_default()
 }
@@ -69,14 +69,14 @@
 pub(crate) fn spawn_writer(
     tasks: &TaskTracker,
     settings: &FrontSettings,
-    store: Option<Keep>,
+    store: Option<Store>,
     knowledge: Arc<SnapshotCell>,
     clock: Clock,
     stop: &CancellationToken,
 ) -> watch::Sender<Option<SavedList>> {
     let (list_tx, mut list_rx) = watch::channel(None);
     let Some(store) = store else { return list_tx };
-    let (stop, write_interval) = (stop.clone(), settings.keep.knowledge_ms.get());
+    let (stop, write_interval) = (stop.clone(), settings.persistence.knowledge_interval_ms.get());
     let store = Arc::new(store);
     tasks.spawn(async move {
         let mut last_seq = 0;
@@ -91,13 +91,13 @@
             let view = knowledge.latest();
             if let Some(list) = list.filter(|_| new_list || view.seq() != last_seq) {
                 last_seq = view.seq();
-                let message = view.message(clock.now(), 0, None, Level::Cold, Vec::new());
-                let state = Kept {
+                let message = view.message(clock.now(), 0, None, KnowledgeLevel::Cold, Vec::new());
+                let state = PersistedState {
                     list: serde_json::to_vec(&list).unwrap_or_default(),
                     knowledge: message.encode().unwrap_or_default(),
                 };
                 let store = store.clone();
-                if let Ok(Err(error)) = spawn_blocking(move || store.put(&state)).await {
+                if let Ok(Err(error)) = spawn_blocking(move || store.save(&state)).await {
                     tracing::warn!(%error, "server list and knowledge not persisted");
                 }
             }
--- a/crates/front/src/release.rs
+++ b/crates/front/src/release.rs
@@ -6,7 +6,7 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow::ServerId;
-use cloverhollow_hints::cmcd::{EventKind, PlayState, Record, REPORT_TYPE};
+use cloverhollow_hints::cmcd::{EventKind, PlayState, Record, REPORT_MIME_TYPE};
 use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_session::SessionId;
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
         let queue = match existing {
             Some((_, tx)) => tx.clone(),
             None => {
-                let (tx, rx) = mpsc::channel(self.shared.settings.servers.releases.count());
+                let (tx, rx) = mpsc::channel(self.shared.settings.servers.max_pending_releases.as_usize());
                 tokio::spawn(send_reports(server, address, rx, self.shared.clone()));
                 self.servers.insert(server, (address, tx.clone()));
                 tx
@@ -64,21 +64,21 @@
                 v: Some(2),
                 ..Record::default()
             };
-            record.line() + "\n"
+            record.to_line() + "\n"
         };
         let body: String = batch.drain(..).map(|sid| report_line(&sid)).collect();
-        let Some(target) = Target::parse(shared.settings.mapping.reports.clone().into()) else { return };
+        let Some(target) = Target::parse(shared.settings.mapping.report_path.clone().into()) else { return };
         let mut head = RequestHead::post(target, body.len());
         head.headers.push("host", address.to_string());
         head.headers.push("via", shared.via.clone());
-        head.headers.push("content-type", REPORT_TYPE);
+        head.headers.push("content-type", REPORT_MIME_TYPE);
         let exchange = async {
             let mut connection = shared.pools.acquire(server, address, false).await.ok()?;
             connection.client().exchange(head, Bytes::from(body), MAX_RESPONSE_BYTES).await.ok()?;
             connection.return_to_pool();
             Some(())
         };
-        let time_limit = shared.settings.servers.object_ms.get();
+        let time_limit = shared.settings.servers.head_timeout_ms.get();
         if timeout(time_limit, exchange).await.ok().flatten().is_none() {
             tracing::debug!(server, "session ends could not be reported");
         }
--- a/crates/front/src/side_endpoint.rs
+++ b/crates/front/src/side_endpoint.rs
@@ -8,7 +8,7 @@
 use crate::Shared;
 use bytes::Bytes;
 use cloverhollow_http::{Limits, Method, RequestFrame, ResponseHead};
-use cloverhollow_knowledge::{Feeds, Level, Why, MOST_PEERS};
+use cloverhollow_knowledge::{KnowledgeLevel, KnowledgeTransfers, LevelReason, MAX_PEERS};
 use cloverhollow_net::{write_response, ServerCodec, ServerConn};
 use cloverhollow_session::ServerList;
 use futures_util::StreamExt;
@@ -38,9 +38,9 @@
     previous_incarnations: OnceLock<(String, usize)>,
     /// Time from which viewers are accepted, on the front's clock, ms.
     accepts_from_ms: AtomicU64,
-    level: Mutex<(Level, Why)>,
+    level: Mutex<(KnowledgeLevel, LevelReason)>,
     peers: Mutex<BTreeSet<SocketAddr>>,
-    transfers: Mutex<Feeds>,
+    transfers: Mutex<KnowledgeTransfers>,
     fleet: Option<Arc<FleetMember>>,
 }
 
@@ -57,9 +57,12 @@
             full_list_received: AtomicBool::new(false),
             previous_incarnations: OnceLock::new(),
             accepts_from_ms: AtomicU64::new(0),
-            level: Mutex::new((Level::Cold, Why::NotBegun)),
+            level: Mutex::new((KnowledgeLevel::Cold, LevelReason::NotStarted)),
             peers: Mutex::new(settings.addresses.iter().copied().collect()),
-            transfers: Mutex::new(Feeds::new(settings.feeds.count(), settings.hold_off_ms.get())),
+            transfers: Mutex::new(KnowledgeTransfers::new(
+                settings.max_feeds.as_usize(),
+                settings.retry_after_ms.get(),
+            )),
             fleet,
         }
     }
@@ -89,14 +92,15 @@
     }
 
     /// Sets the warm-up level and its reason. Returns true if either changed.
-    pub(crate) fn set_level(&self, level: Level, reason: Why) -> bool {
+    pub(crate) fn set_level(&self, level: KnowledgeLevel, reason: LevelReason) -> bool {
         std::mem::replace(&mut *lock(&self.level), (level, reason)) != (level, reason)
     }
 
     /// Waits until the warm start has ended, and, if `needs_list`, until discovery has sent a full list.
     pub(crate) async fn wait_for_warm_start(&self, needs_list: bool) {
         // Polled: this is a single wait of a few hundred milliseconds.
-        while lock(&self.level).0 == Level::Warming || (needs_list && !self.full_list_received.load(Relaxed))
+        while lock(&self.level).0 == KnowledgeLevel::Warming
+            || (needs_list && !self.full_list_received.load(Relaxed))
         {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -121,7 +125,7 @@
     /// Adds peers that were learnt from other sources.
     pub(crate) fn add_peers(&self, all: Vec<SocketAddr>) {
         let mut peers = lock(&self.peers);
-        let capacity = MOST_PEERS.saturating_sub(peers.len());
+        let capacity = MAX_PEERS.saturating_sub(peers.len());
         let new: Vec<_> = all.into_iter().filter(|peer| !peers.contains(peer)).take(capacity).collect();
         peers.extend(new);
     }
@@ -213,9 +217,9 @@
         "why": reason,
         "before": trust,
         "deaths": crashes,
-        "level": level.word(),
-        "level_why": level_reason.words(),
-        "knows_servers": shared.knowledge.latest().servers(),
+        "level": level.as_str(),
+        "level_why": level_reason.as_str(),
+        "knows_servers": shared.knowledge.latest().server_count(),
         "list_version": status.list_version.load(Relaxed),
         "servers_serving": serving,
         "sessions": status.sessions.load(Relaxed),
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -2,7 +2,7 @@
 
 use crate::connection_pool::PooledConnection;
 use crate::Shared;
-use cloverhollow_hints::cmcd::{Custom, Kbps, Record, Value};
+use cloverhollow_hints::cmcd::{CustomKey, CustomValue, Kbps, Record};
 use cloverhollow_hints::cmsd::{self, Hop};
 use cloverhollow_hints::{Faults, Group};
 use cloverhollow_http::{RequestHead, ResponseHead, Target};
@@ -46,14 +46,14 @@
     hints.tb = hints.tb.filter(|tb| tb.0 >= kbps);
     hints.custom.retain(|c| !c.key.starts_with(OWN_PREFIX));
     if let Some(number) = attempt_number {
-        let value = Value::Plain(number.to_string().into());
-        hints.custom.push(Custom { key: SETUP_KEY.into(), value });
+        let value = CustomValue::Unquoted(number.to_string().into());
+        hints.custom.push(CustomKey { key: SETUP_KEY.into(), value });
     }
     let mut head = RequestHead::get(request.target.clone());
     head.headers.push("host", address.to_string());
     head.headers.push("via", shared.via.clone());
     for group in Group::ALL {
-        let text = hints.header(group);
+        let text = hints.to_header(group);
         if !text.is_empty() {
             head.headers.push(group.header(), text);
         }
@@ -85,7 +85,7 @@
 
 /// Reads `CMSD-Dynamic`. Its last member is that of the server that was asked.
 pub(crate) fn response_hints(head: &ResponseHead, kbps: u32) -> ResponseHints {
-    let Some(cmsd_path) = head.headers.joined(cmsd::DYNAMIC) else { return ResponseHints::default() };
+    let Some(cmsd_path) = head.headers.joined(cmsd::DYNAMIC_HEADER) else { return ResponseHints::default() };
     let mut faults = Faults::default();
     let hops = cmsd::read_dynamic(&cmsd_path, &mut faults);
     if faults.total() > 0 {
@@ -93,12 +93,12 @@
     }
     let Some(hop) = hops.into_iter().next_back() else { return ResponseHints::default() };
     let share = hop
-        .throughput
+        .throughput_kbps
         .filter(|_| kbps > 0)
         .map(|throughput| (f64::from(throughput) / f64::from(kbps)).min(1.0));
     ResponseHints {
-        load: Load { link: hop.link, rack: hop.rack, share },
-        not_executed: hop.unrun,
+        load: Load { link: hop.link_utilization, rack: hop.rack_utilization, share },
+        not_executed: hop.not_executed,
         unknown_session: hop.reason.as_deref() == Some(UNKNOWN_SESSION),
         cmsd_path,
     }
@@ -108,8 +108,8 @@
 pub(crate) fn own_cmsd_hop(shared: &Shared, route: Option<&Route>, delay_ms: u32) -> Hop {
     Hop {
         name: shared.settings.instance.name.as_str().into(),
-        delay: Some(delay_ms),
-        most: route.map(Route::kbps),
+        response_delay_ms: Some(delay_ms),
+        max_bitrate_kbps: route.map(Route::kbps),
         rung: route.map(|r| r.rung() as u32),
         ..Hop::default()
     }
--- a/crates/front/src/write_ahead_log.rs
+++ b/crates/front/src/write_ahead_log.rs
@@ -10,8 +10,8 @@
 
 use crate::clock::current_stamp;
 use cloverhollow_recovery::frame::{encode, MAGIC};
-use cloverhollow_recovery::{Bounds, Deed, Ledger, Stamp};
-use cloverhollow_store::Paper;
+use cloverhollow_recovery::{Ledger, LedgerLimits, LogRecord, Timestamp};
+use cloverhollow_store::LogStorage;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 
 /// Record in the writer's queue.
 struct QueuedRecord {
-    record: Deed,
+    record: LogRecord,
     confirm_tx: Option<oneshot::Sender<bool>>,
 }
 
@@ -99,7 +99,7 @@
     /// Age beyond which retries no longer count against the retry budget.
     pub(crate) retry_span: Duration,
     /// Size limits of the ledger.
-    pub(crate) bounds: Bounds,
+    pub(crate) bounds: LedgerLimits,
 }
 
 /// Handle to the log writer.
@@ -125,9 +125,9 @@
 
     /// Starts the writer thread. It first rewrites the log with `ledger`, and applies `start_record` to it.
     pub(crate) fn start(
-        storage: Box<dyn Paper>,
+        storage: Box<dyn LogStorage>,
         ledger: Ledger,
-        start_record: Deed,
+        start_record: LogRecord,
         options: LogOptions,
     ) -> Self {
         let (command_tx, command_rx) = mpsc::channel(MAX_QUEUED_RECORDS);
@@ -150,7 +150,7 @@
     }
 
     /// Submits a record whose effect must not take place before the record is persisted.
-    pub(crate) fn append_confirmed(&self, record: Deed) -> WriteReceipt {
+    pub(crate) fn append_confirmed(&self, record: LogRecord) -> WriteReceipt {
         let Some(command_tx) = &self.command_tx else { return WriteReceipt::NotRequired };
         let (confirm_tx, confirm_rx) = oneshot::channel();
         match command_tx
@@ -165,7 +165,7 @@
     }
 
     /// Submits a record that nobody waits for.
-    pub(crate) fn append(&self, record: Deed) {
+    pub(crate) fn append(&self, record: LogRecord) {
         let Some(command_tx) = &self.command_tx else { return };
         if command_tx.try_send(WriterCommand::Append(QueuedRecord { record, confirm_tx: None })).is_err() {
             self.status.rejected.fetch_add(1, Relaxed);
@@ -184,7 +184,7 @@
 }
 
 struct LogWriter {
-    storage: Box<dyn Paper>,
+    storage: Box<dyn LogStorage>,
     ledger: Ledger,
     options: LogOptions,
     /// Bytes appended since the last rewrite.
@@ -225,7 +225,7 @@
                 match command {
                     WriterCommand::Append(queued) => records.push(queued),
                     WriterCommand::Close(confirm_tx) => {
-                        records.push(QueuedRecord { record: Deed::Ended, confirm_tx: None });
+                        records.push(QueuedRecord { record: LogRecord::CleanShutdown, confirm_tx: None });
                         close_tx = Some(confirm_tx);
                         break;
                     }
@@ -280,10 +280,10 @@
 
     /// Replaces the log with one snapshot of the ledger. Returns true on success.
     fn rewrite(&mut self) -> bool {
-        let at: Stamp = current_stamp();
-        self.ledger.forget_further(at, self.options.retry_span);
+        let at: Timestamp = current_stamp();
+        self.ledger.forget_retries(at, self.options.retry_span);
         let mut buffer = MAGIC.to_vec();
-        if encode(at, &Deed::Whole(Box::new(self.ledger.clone())), &mut buffer).is_err() {
+        if encode(at, &LogRecord::Snapshot(Box::new(self.ledger.clone())), &mut buffer).is_err() {
             return self.status.record_result(Err(std::io::Error::other("the ledger is too long")));
         }
         let written = self.storage.replace(&buffer);
@@ -297,7 +297,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cloverhollow_recovery::{frame, Boot};
+    use cloverhollow_recovery::{frame, BootId};
     use std::io;
     use std::sync::atomic::AtomicBool;
 
@@ -320,14 +320,14 @@
             Ok(())
         }
 
-        fn records(&self) -> Vec<Deed> {
+        fn records(&self) -> Vec<LogRecord> {
             let buffer = self.buffer.lock().unwrap();
-            let records = frame::read(&buffer).unwrap().deeds.into_iter().map(|(_, record)| record);
-            records.filter(|record| !matches!(record, Deed::Whole(_))).collect()
+            let records = frame::decode(&buffer).unwrap().records.into_iter().map(|(_, record)| record);
+            records.filter(|record| !matches!(record, LogRecord::Snapshot(_))).collect()
         }
     }
 
-    impl Paper for MemoryLog {
+    impl LogStorage for MemoryLog {
         fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
             self.appends.fetch_add(1, Relaxed);
             self.write(|buffer| buffer.extend_from_slice(bytes))
@@ -344,13 +344,13 @@
 
     fn start_log(storage: &MemoryLog) -> WriteAheadLog {
         let options =
-            LogOptions { sync: true, retry_span: Duration::from_secs(10), bounds: Bounds::default() };
-        let start_record = Deed::Began { boot: Boot(1) };
+            LogOptions { sync: true, retry_span: Duration::from_secs(10), bounds: LedgerLimits::default() };
+        let start_record = LogRecord::IncarnationStarted { boot: BootId(1) };
         WriteAheadLog::start(Box::new(storage.clone()), Ledger::default(), start_record, options)
     }
 
-    fn sent_record(sid: usize) -> Deed {
-        Deed::Out { sid: format!("s{sid}"), server: 1, paid: true, further: false }
+    fn sent_record(sid: usize) -> LogRecord {
+        LogRecord::AttemptStarted { sid: format!("s{sid}"), server: 1, paid: true, is_retry: false }
     }
 
     #[tokio::test]
@@ -359,9 +359,9 @@
         let log = start_log(&storage);
         assert!(log.append_confirmed(sent_record(1)).wait_confirmed().await);
         assert_eq!(storage.records(), [sent_record(1)]);
-        log.append(Deed::Listed { server: 4, serves: false });
+        log.append(LogRecord::ServerListed { server: 4, accepts_sessions: false });
         log.close().await;
-        assert_eq!(storage.records().last(), Some(&Deed::Ended));
+        assert_eq!(storage.records().last(), Some(&LogRecord::CleanShutdown));
         assert!(!log.append_confirmed(sent_record(2)).wait_confirmed().await, "the writer has stopped");
     }
 
@@ -389,7 +389,7 @@
         storage.full.store(true, Relaxed);
         assert!(!log.append_confirmed(sent_record(2)).wait_confirmed().await);
         assert!(log.status.write_error().is_some());
-        log.append(Deed::Listed { server: 4, serves: false });
+        log.append(LogRecord::ServerListed { server: 4, accepts_sessions: false });
         storage.full.store(false, Relaxed);
         while log.status.write_error().is_some() {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -398,10 +398,10 @@
         // The rejected record is absent; the effect that took place meanwhile is present.
         assert!(storage.records().contains(&sent_record(3)) && !storage.records().contains(&sent_record(2)));
         let mut ledger = Ledger::default();
-        for (at, record) in frame::read(&storage.buffer.lock().unwrap()).unwrap().deeds {
-            ledger.apply(at, &record, &Bounds::default());
+        for (at, record) in frame::decode(&storage.buffer.lock().unwrap()).unwrap().records {
+            ledger.apply(at, &record, &LedgerLimits::default());
         }
-        assert_eq!(ledger.paid().iter().len(), 2, "the first and the third record are paid");
+        assert_eq!(ledger.paid_sessions().iter().len(), 2, "the first and the third record are paid");
         assert!(ledger.stopped().contains(&4));
     }
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -76,7 +76,7 @@
 }
 
 fn header_text(head: &RequestHead, name: &str) -> String {
-    head.headers.text(name).unwrap_or_default().to_string()
+    head.headers.get_str(name).unwrap_or_default().to_string()
 }
 
 async fn serve(stream: TcpStream, script: Script, requests: Arc<Mutex<Vec<String>>>) {
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use cloverhollow_http::{Limits, RequestFrame, RequestHead, ResponseHead};
-use cloverhollow_knowledge::facts::{Observer, Standing, State};
+use cloverhollow_knowledge::observations::{ListedState, Observer, ServerStatus};
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_knowledge::{Book, Level};
+use cloverhollow_knowledge::{KnowledgeLevel, KnowledgeStore};
 use cloverhollow_net::{read_body, write_response, ServerCodec, ServerConn};
 use cloverhollow_settings::title_id;
 use common::*;
@@ -35,7 +35,7 @@
                 let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
                 let Some(Ok(RequestFrame::Head(head))) = conn.next().await else { return };
                 let _ = read_body(&mut conn, 0).await;
-                let nonce = head.target.argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
+                let nonce = head.target.query_argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
                 let (out, body) = reply(count.fetch_add(1, Relaxed), nonce, &head);
                 // A head that announces a longer body than is sent makes an interrupted transfer.
                 let _ = write_response(&mut conn, out, Bytes::from(body)).await;
@@ -48,9 +48,13 @@
 /// Message of a warm front: server 1 drains since version 9 of the list.
 fn warm_message(nonce: u64, fleet: &str) -> Message {
     let observer = Observer { instance: 77, incarnation: 1 };
-    let mut store = Book::new(observer, title_id(fleet), Duration::from_secs(30));
-    store.listed(Duration::from_secs(100), 1, State { version: 9, standing: Standing::Draining });
-    store.view().message(Duration::from_secs(101), nonce, None, Level::Warm, Vec::new())
+    let mut store = KnowledgeStore::new(observer, title_id(fleet), Duration::from_secs(30));
+    store.record_state(
+        Duration::from_secs(100),
+        1,
+        ListedState { version: 9, status: ServerStatus::Draining },
+    );
+    store.view().message(Duration::from_secs(101), nonce, None, KnowledgeLevel::Warm, Vec::new())
 }
 
 fn encoded_message(nonce: u64) -> Vec<u8> {
@@ -114,7 +118,7 @@
     let (first, second) = (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
     let interrupting_reply: ReplyFn = Arc::new(|n, nonce, head| {
         let all = encoded_message(nonce);
-        let text = |name: &str| head.headers.text(name).map(str::to_string);
+        let text = |name: &str| head.headers.get_str(name).map(str::to_string);
         if n == 0 {
             let (head, _) = ok_response(all.clone());
             return (ResponseHead { keep_alive: false, ..head }, all[..all.len() / 2].to_vec());
--- a/crates/session/src/types/commands.rs
+++ b/crates/session/src/types/commands.rs
@@ -3,8 +3,8 @@
 use super::{AttemptId, EndReason, RejectReason, SessionId, ViewerId};
 use crate::routes::Route;
 use cloverhollow::ServerId;
-use cloverhollow_knowledge::{Level, MergeError};
-use cloverhollow_recovery::Deed;
+use cloverhollow_knowledge::{KnowledgeLevel, MergeError};
+use cloverhollow_recovery::LogRecord;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     /// True if the set-up must take effect at most once.
     pub paid: bool,
     /// Record to persist before the first byte of the request is sent; `None` if nothing must be persisted.
-    pub log_record: Option<Deed>,
+    pub log_record: Option<LogRecord>,
     /// Time from now after which the core cancels the attempt if no answer has arrived.
     pub timeout: Duration,
     /// Time, on the core's clock, after which the request must not be sent any more.
@@ -106,7 +106,7 @@
         answer: Answer<B>,
     },
     /// Append a record to the write-ahead log. Nothing waits for the write.
-    Persist(Deed),
+    Persist(LogRecord),
     /// Tell a server that a session has ended, so that it frees what it may hold for it.
     Release {
         /// Address of the server.
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerStatus {
     /// Degree to which the peer has gathered the fleet's knowledge since its start.
-    pub level: Level,
+    pub level: KnowledgeLevel,
     /// Sequence number of the peer's last change. The next delta is requested from here.
     pub seq: u64,
     /// Addresses of the peers known to this peer.
