--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -22,6 +22,7 @@
 mod persistence;
 mod release;
 mod side_endpoint;
+mod start_error;
 mod upstream;
 mod viewer;
 mod write_ahead_log;
@@ -30,6 +31,7 @@
 pub use cloverhollow_net::Clock;
 pub use log_recovery::log_file_path;
 pub use out_of_service::LeaveOutcome;
+pub use start_error::StartError;
 
 use cloverhollow_recovery::Trust;
 use cloverhollow_session::{Core, Input, Policy, Routes, SnapshotCell, Stats, StepObserver};
@@ -72,32 +74,6 @@
     }
 }
 
-/// Reason why a front did not start.
-#[derive(Debug, thiserror::Error)]
-pub enum StartError {
-    /// An address cannot be listened on.
-    #[error("{field} {address}: {source}")]
-    Listen {
-        /// Settings field that holds the address.
-        field: &'static str,
-        /// Address from the settings.
-        address: SocketAddr,
-        /// Error of the operating system.
-        source: std::io::Error,
-    },
-    /// A key for the members' datagrams cannot be used.
-    #[error("members.keys {file}: {reason}")]
-    InvalidKey {
-        /// Path of the key file.
-        file: String,
-        /// Description of the problem.
-        reason: String,
-    },
-    /// Another process of this front is running. Two processes would each spend the whole of every budget.
-    #[error("keep.file: {0}")]
-    AlreadyRunning(#[from] cloverhollow_store::LogFileError),
-}
-
 /// A running front.
 pub struct Front {
     /// Address that accepts viewers' connections.
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -9,23 +9,22 @@
 mod keys;
 mod permits;
 mod status_page;
+mod sync;
 
 use crate::out_of_service::{OutOfService, Signals};
 use crate::StartError;
-use bytes::Bytes;
-use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_members::{
-    Incarnation, Key, Member, MemberConfig, MemberEvent, MemberId, MemberState, OutgoingDatagram, SwimConfig,
-    MAX_BODY_BYTES, MAX_DATAGRAM_BYTES,
+    Incarnation, Key, Member, MemberConfig, MemberEvent, MemberId, OutgoingDatagram, SwimConfig,
+    MAX_DATAGRAM_BYTES,
 };
-use cloverhollow_net::{connect, unix_ms, Clock};
+use cloverhollow_net::{unix_ms, Clock};
 use cloverhollow_session::{invariants_hold, INVARIANT_EXIT_CODE};
 use cloverhollow_settings::FrontSettings;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::net::UdpSocket;
-use tokio::time::{sleep_until, timeout};
+use tokio::time::sleep_until;
 use tokio_util::sync::CancellationToken;
 
 /// Path at the side address where members exchange their full member lists.
@@ -34,8 +33,6 @@
 pub(crate) const STATUS_PAGE_PATH: &str = "/v1/fleet";
 /// Query argument that the response repeats.
 pub(crate) const NONCE_ARG: &str = "nonce";
-/// Time limit for one full exchange with a member.
-const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// This front as a member of the fleet.
 #[derive(Debug)]
@@ -159,43 +156,6 @@
         }
         member.take_datagrams()
     }
-
-    /// Returns the side address of a random live member, if one is known.
-    fn random_peer(&self) -> Option<SocketAddr> {
-        let member = self.member();
-        let own_address = member.local_id().address;
-        let live = member
-            .view()
-            .members
-            .values()
-            .filter(|s| s.state == MemberState::Alive && s.id.address != own_address);
-        fastrand::choice(live.filter_map(|s| s.id.side_address).collect::<Vec<_>>())
-    }
-
-    /// Fetches and merges the full member list of a peer.
-    async fn sync_with(&self, peer: SocketAddr) {
-        let nonce = fastrand::u64(..);
-        let merged = match timeout(SYNC_TIMEOUT, fetch_member_list(peer, nonce)).await {
-            Ok(Some(body)) => {
-                self.with_member(|m| m.sync(self.clock.now(), nonce, &body)).map_err(|e| e.to_string())
-            }
-            Ok(None) => Err("no usable response".into()),
-            Err(_) => Err("no response in time".into()),
-        };
-        match merged {
-            Ok(()) => self.set_list_received(),
-            Err(error) => tracing::info!(%peer, error, "member list not merged"),
-        }
-    }
-}
-
-async fn fetch_member_list(peer: SocketAddr, nonce: u64) -> Option<Vec<u8>> {
-    let mut conn = connect(peer).await.ok()?;
-    let target = Target::parse(format!("{PATH}?{NONCE_ARG}={nonce}").into())?;
-    let mut head = RequestHead::get(target);
-    head.headers.push("host", peer.to_string());
-    let (head, body) = conn.exchange(head, Bytes::new(), MAX_BODY_BYTES).await.ok()?;
-    (head.status == 200).then_some(body)
 }
 
 /// Runs until `stop`, then announces that this member leaves.
--- a/crates/front/src/write_ahead_log.rs
+++ b/crates/front/src/write_ahead_log.rs
@@ -8,23 +8,22 @@
 //! Dropping a receipt leaves its record in the queue, which is the safe side. The queue is bounded
 //! ([`MAX_QUEUED_RECORDS`]); a record that does not fit counts as not persisted.
 
+mod writer;
+
+#[cfg(test)]
+mod tests;
+
 use crate::clock::current_stamp;
-use cloverhollow_recovery::frame::{encode, MAGIC};
-use cloverhollow_recovery::{Ledger, LedgerLimits, LogRecord, Timestamp};
+use cloverhollow_recovery::{Ledger, LedgerLimits, LogRecord};
 use cloverhollow_store::LogStorage;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
+use writer::LogWriter;
 
 /// Maximum number of records that wait to be written.
 const MAX_QUEUED_RECORDS: usize = 65_536;
-/// Maximum number of records in one write.
-const MAX_GROUP_RECORDS: usize = 4_096;
-/// Number of appended bytes after which the log is rewritten as one snapshot.
-const REWRITE_AFTER_BYTES: usize = 4 << 20;
-/// Interval between attempts to rewrite the log while writes fail, so that free disk space is noticed.
-const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Record in the writer's queue.
 struct QueuedRecord {
@@ -182,226 +181,3 @@
         }
     }
 }
-
-struct LogWriter {
-    storage: Box<dyn LogStorage>,
-    ledger: Ledger,
-    options: LogOptions,
-    /// Bytes appended since the last rewrite.
-    appended_bytes: usize,
-    status: Arc<LogStatus>,
-    buffer: Vec<u8>,
-}
-
-impl LogWriter {
-    fn run(mut self, mut command_rx: mpsc::Receiver<WriterCommand>) {
-        let mut failing = !self.rewrite();
-        loop {
-            let first_command = if failing {
-                // The only place that probes the disk without a record to write.
-                std::thread::sleep(RETRY_INTERVAL);
-                failing = !self.rewrite();
-                match command_rx.try_recv() {
-                    Ok(command) => command,
-                    Err(mpsc::error::TryRecvError::Empty) => continue,
-                    Err(mpsc::error::TryRecvError::Disconnected) => return,
-                }
-            } else {
-                match command_rx.blocking_recv() {
-                    Some(command) => command,
-                    None => return,
-                }
-            };
-            let mut commands = vec![first_command];
-            while commands.len() < MAX_GROUP_RECORDS {
-                match command_rx.try_recv() {
-                    Ok(command) => commands.push(command),
-                    Err(_) => break,
-                }
-            }
-            let mut close_tx = None;
-            let mut records = Vec::with_capacity(commands.len());
-            for command in commands {
-                match command {
-                    WriterCommand::Append(queued) => records.push(queued),
-                    WriterCommand::Close(confirm_tx) => {
-                        records.push(QueuedRecord { record: LogRecord::CleanShutdown, confirm_tx: None });
-                        close_tx = Some(confirm_tx);
-                        break;
-                    }
-                }
-            }
-            failing = !self.append_group(records, failing);
-            if let Some(confirm_tx) = close_tx {
-                // Closed before the confirmation: the waiting side may open the file again.
-                drop(self.storage);
-                let _ = confirm_tx.send(());
-                return;
-            }
-        }
-    }
-
-    /// Writes a group of records, all or none. Returns true on success.
-    fn append_group(&mut self, records: Vec<QueuedRecord>, failing: bool) -> bool {
-        let at = current_stamp();
-        self.buffer.clear();
-        let encoded = records.iter().all(|queued| encode(at, &queued.record, &mut self.buffer).is_ok());
-        let persisted = encoded && !failing && {
-            let written = self.storage.append(&self.buffer).and_then(|()| self.sync_if_required());
-            self.status.record_result(written)
-        };
-        self.appended_bytes += self.buffer.len();
-        self.status.writes.fetch_add(1, Relaxed);
-        let count = if persisted { &self.status.persisted } else { &self.status.rejected };
-        count.fetch_add(records.len() as u64, Relaxed);
-        for queued in records {
-            // An effect without a waiter has already taken place: it goes into the ledger, and so into the
-            // next rewrite, even if this write failed.
-            if persisted || queued.confirm_tx.is_none() {
-                self.ledger.apply(at, &queued.record, &self.options.bounds);
-            }
-            if let Some(confirm_tx) = queued.confirm_tx {
-                let _ = confirm_tx.send(persisted);
-            }
-        }
-        if persisted && self.appended_bytes > REWRITE_AFTER_BYTES {
-            return self.rewrite();
-        }
-        persisted
-    }
-
-    fn sync_if_required(&mut self) -> std::io::Result<()> {
-        if self.options.sync {
-            self.storage.sync()
-        } else {
-            Ok(())
-        }
-    }
-
-    /// Replaces the log with one snapshot of the ledger. Returns true on success.
-    fn rewrite(&mut self) -> bool {
-        let at: Timestamp = current_stamp();
-        self.ledger.forget_retries(at, self.options.retry_span);
-        let mut buffer = MAGIC.to_vec();
-        if encode(at, &LogRecord::Snapshot(Box::new(self.ledger.clone())), &mut buffer).is_err() {
-            return self.status.record_result(Err(std::io::Error::other("the ledger is too long")));
-        }
-        let written = self.storage.replace(&buffer);
-        if written.is_ok() {
-            self.appended_bytes = 0;
-        }
-        self.status.record_result(written)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use cloverhollow_recovery::{frame, BootId};
-    use std::io;
-    use std::sync::atomic::AtomicBool;
-
-    /// In-memory log storage that can be made full or slow.
-    #[derive(Clone, Default)]
-    struct MemoryLog {
-        buffer: Arc<Mutex<Vec<u8>>>,
-        full: Arc<AtomicBool>,
-        write_delay_ms: Arc<AtomicU64>,
-        appends: Arc<AtomicU64>,
-    }
-
-    impl MemoryLog {
-        fn write(&self, edit: impl FnOnce(&mut Vec<u8>)) -> io::Result<()> {
-            std::thread::sleep(Duration::from_millis(self.write_delay_ms.load(Relaxed)));
-            if self.full.load(Relaxed) {
-                return Err(io::Error::from(io::ErrorKind::StorageFull));
-            }
-            edit(&mut self.buffer.lock().unwrap());
-            Ok(())
-        }
-
-        fn records(&self) -> Vec<LogRecord> {
-            let buffer = self.buffer.lock().unwrap();
-            let records = frame::decode(&buffer).unwrap().records.into_iter().map(|(_, record)| record);
-            records.filter(|record| !matches!(record, LogRecord::Snapshot(_))).collect()
-        }
-    }
-
-    impl LogStorage for MemoryLog {
-        fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-            self.appends.fetch_add(1, Relaxed);
-            self.write(|buffer| buffer.extend_from_slice(bytes))
-        }
-
-        fn sync(&mut self) -> io::Result<()> {
-            Ok(())
-        }
-
-        fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-            self.write(|buffer| *buffer = bytes.to_vec())
-        }
-    }
-
-    fn start_log(storage: &MemoryLog) -> WriteAheadLog {
-        let options =
-            LogOptions { sync: true, retry_span: Duration::from_secs(10), bounds: LedgerLimits::default() };
-        let start_record = LogRecord::IncarnationStarted { boot: BootId(1) };
-        WriteAheadLog::start(Box::new(storage.clone()), Ledger::default(), start_record, options)
-    }
-
-    fn sent_record(sid: usize) -> LogRecord {
-        LogRecord::AttemptStarted { sid: format!("s{sid}"), server: 1, paid: true, is_retry: false }
-    }
-
-    #[tokio::test]
-    async fn receipt_is_confirmed_once_the_record_is_persisted() {
-        let storage = MemoryLog::default();
-        let log = start_log(&storage);
-        assert!(log.append_confirmed(sent_record(1)).wait_confirmed().await);
-        assert_eq!(storage.records(), [sent_record(1)]);
-        log.append(LogRecord::ServerListed { server: 4, accepts_sessions: false });
-        log.close().await;
-        assert_eq!(storage.records().last(), Some(&LogRecord::CleanShutdown));
-        assert!(!log.append_confirmed(sent_record(2)).wait_confirmed().await, "the writer has stopped");
-    }
-
-    #[tokio::test]
-    async fn slow_disk_groups_queued_records_into_one_write() {
-        let storage = MemoryLog::default();
-        let log = start_log(&storage);
-        assert!(log.append_confirmed(sent_record(0)).wait_confirmed().await);
-        storage.write_delay_ms.store(200, Relaxed);
-        let before = storage.appends.load(Relaxed);
-        let receipts: Vec<_> = (1..=500).map(|n| log.append_confirmed(sent_record(n))).collect();
-        for receipt in receipts {
-            assert!(receipt.wait_confirmed().await);
-        }
-        assert_eq!(storage.records().len(), 501);
-        let writes = storage.appends.load(Relaxed) - before;
-        assert!(writes <= 3, "{writes} writes of 200 ms for 500 records");
-    }
-
-    #[tokio::test]
-    async fn full_disk_confirms_nothing_until_space_is_free() {
-        let storage = MemoryLog::default();
-        let log = start_log(&storage);
-        assert!(log.append_confirmed(sent_record(1)).wait_confirmed().await);
-        storage.full.store(true, Relaxed);
-        assert!(!log.append_confirmed(sent_record(2)).wait_confirmed().await);
-        assert!(log.status.write_error().is_some());
-        log.append(LogRecord::ServerListed { server: 4, accepts_sessions: false });
-        storage.full.store(false, Relaxed);
-        while log.status.write_error().is_some() {
-            tokio::time::sleep(Duration::from_millis(20)).await;
-        }
-        assert!(log.append_confirmed(sent_record(3)).wait_confirmed().await);
-        // The rejected record is absent; the effect that took place meanwhile is present.
-        assert!(storage.records().contains(&sent_record(3)) && !storage.records().contains(&sent_record(2)));
-        let mut ledger = Ledger::default();
-        for (at, record) in frame::decode(&storage.buffer.lock().unwrap()).unwrap().records {
-            ledger.apply(at, &record, &LedgerLimits::default());
-        }
-        assert_eq!(ledger.paid_sessions().iter().len(), 2, "the first and the third record are paid");
-        assert!(ledger.stopped().contains(&4));
-    }
-}
