--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -52,8 +52,9 @@
 /// Delay of a due step beyond which the process is taken to have been suspended.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(200);
 /// Time for the sockets to be read after a suspension, before time-outs are evaluated.
-const CATCH_UP: Duration = Duration::from_millis(20);
+const CATCH_UP_DELAY: Duration = Duration::from_millis(20);
 
+/// Owner of the session core; carries out its commands through tasks of their own.
 pub(crate) struct EventLoop<P> {
     core: Core<P, Arc<ViewerRequest>, SetupResponse>,
     shared: Arc<Shared>,
@@ -113,7 +114,7 @@
                     late_ms = (self.shared.clock.now() - deadline).as_millis() as u64,
                     "process was suspended"
                 );
-                tokio::time::sleep(CATCH_UP).await;
+                tokio::time::sleep(CATCH_UP_DELAY).await;
                 while let Ok(event) = self.event_rx.try_recv() {
                     events.push(event);
                 }
@@ -123,6 +124,7 @@
         }
     }
 
+    /// Converts queued events to inputs; stores their reply channels and drops the handles of ended attempts.
     fn take_inputs(&mut self, events: &mut Vec<LoopEvent>) -> Inputs {
         let mut inputs = Vec::with_capacity(events.len());
         for event in events.drain(..) {
@@ -186,6 +188,7 @@
         }
     }
 
+    /// Carries out a command. Returns the input that results at once, if any.
     fn execute(
         &mut self,
         command: Command<Arc<ViewerRequest>, SetupResponse>,
--- a/crates/front/src/log_recovery.rs
+++ b/crates/front/src/log_recovery.rs
@@ -25,9 +25,9 @@
     pub(crate) restart_delay: StartDelay,
 }
 
-/// Returns the path of the write-ahead log beside the store at `keep`.
-pub fn log_file_path(keep: &Path) -> PathBuf {
-    sibling_path(keep, ".deeds")
+/// Returns the path of the write-ahead log beside the file `store`.
+pub fn log_file_path(store: &Path) -> PathBuf {
+    sibling_path(store, ".deeds")
 }
 
 /// Opens the log file on a blocking thread, and waits briefly for a previous process that is just ending.
--- a/crates/front/src/out_of_service/messages.rs
+++ b/crates/front/src/out_of_service/messages.rs
@@ -12,6 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Payload of a datagram about permits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PermitMessage {
     /// Message of the register protocol.
--- a/crates/front/src/out_of_service/mod.rs
+++ b/crates/front/src/out_of_service/mod.rs
@@ -44,6 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PendingChange {
     Grant,
+    /// Returns the permit of this incarnation.
     Return(u64),
 }
 
@@ -56,6 +57,7 @@
     state_version: u64,
 }
 
+/// State of the permits under which this front may be out of service.
 #[derive(Debug)]
 pub(crate) struct OutOfService {
     name: String,
@@ -81,18 +83,23 @@
     unreturned: Vec<u64>,
     /// True once a member's full list has arrived since the start.
     list_received: bool,
+    /// Last time at which the view was certain: complete, and with a majority of the witnesses alive.
     last_certain_at: Option<Duration>,
     fleet_state: FleetView,
     /// View number and time of the last evaluation.
     last_evaluation: Option<(u64, Duration)>,
     /// Reason why the last proposal failed.
     denial_reason: String,
+    /// Latest known register, with the time it was received.
     last_register: Option<(Duration, Register)>,
     state_file: Option<PermitFile>,
     /// Incremented by each change of the persisted state.
     state_version: u64,
+    /// Last version that was written or failed to be.
     attempted_version: u64,
+    /// Last version that is on the disk.
     persisted_version: u64,
+    /// Acceptor replies that wait until their state version is persisted.
     delayed_replies: VecDeque<(u64, SocketAddr, Message)>,
     outgoing: Vec<(SocketAddr, PermitMessage)>,
     /// Incarnations that reported that they accept viewers, by address; current members only.
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -45,6 +45,7 @@
     Failed,
 }
 
+/// State of the exchange with all peers.
 struct PeerExchange {
     shared: Arc<Shared>,
     status: Arc<FrontStatus>,
--- a/crates/front/src/release.rs
+++ b/crates/front/src/release.rs
@@ -20,6 +20,7 @@
 /// Maximum length of a server's response to a report, bytes.
 const MAX_RESPONSE_BYTES: usize = 4_096;
 
+/// Queues of ended sessions, one for each server.
 pub(crate) struct SessionEndReporter {
     shared: Arc<Shared>,
     servers: HashMap<ServerId, (SocketAddr, mpsc::Sender<SessionId>)>,
@@ -48,6 +49,7 @@
     }
 }
 
+/// Sends the queued session ends of one server in batches.
 async fn send_reports(
     server: ServerId,
     address: SocketAddr,
--- a/crates/front/src/side_endpoint.rs
+++ b/crates/front/src/side_endpoint.rs
@@ -1,4 +1,5 @@
-//! Side endpoint: `/health` and `/metrics` for operators, `/v1/knowledge` and `/v1/members` for other fronts.
+//! Side endpoint: `/health`, `/metrics`, `/v1/fleet` and `/v1/out` for operators, `/v1/knowledge` and
+//! `/v1/members` for other fronts.
 
 mod transfers;
 
--- a/crates/front/src/write_ahead_log.rs
+++ b/crates/front/src/write_ahead_log.rs
@@ -31,6 +31,7 @@
     confirm_tx: Option<oneshot::Sender<bool>>,
 }
 
+/// Item of the writer's queue.
 enum WriterCommand {
     Append(QueuedRecord),
     /// Final command: writes the end record, closes the storage, then confirms.
--- a/crates/front/src/write_ahead_log/writer.rs
+++ b/crates/front/src/write_ahead_log/writer.rs
@@ -17,6 +17,7 @@
 /// Interval between attempts to rewrite the log while writes fail, so that free disk space is noticed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Owner of the log storage, and of the ledger that a rewrite stores.
 pub(super) struct LogWriter {
     pub(super) storage: Box<dyn LogStorage>,
     pub(super) ledger: Ledger,
--- a/crates/front/tests/permit_state.rs
+++ b/crates/front/tests/permit_state.rs
@@ -15,8 +15,8 @@
     std::fs::write(&key, "00".repeat(16)).unwrap();
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).unwrap();
     std::fs::write(&state_file, r#"{"boot":"","owed":[7],"clerk":null}"#).unwrap();
-    // This front is one of the witnesses; the others do not answer. Without discovery it is not in service, so
-    // it returns no permit yet.
+    // This front is one of the witnesses; the others do not answer. Without discovery it is not in service,
+    // so it returns no permit yet.
     let settings = format!(
         "keep: {{file: \"{}\"}}\nout: {{fleet: 1}}\n\
          members: {{listen: \"127.0.0.1:0\", address: \"127.0.0.1:1\", \
