--- a/crates/front/src/log_recovery.rs
+++ b/crates/front/src/log_recovery.rs
@@ -52,7 +52,7 @@
     });
     match opened.await {
         Ok(Ok(found)) => Ok(Some(found)),
-        Ok(Err(held @ LogFileError::Locked { .. })) => Err(held),
+        Ok(Err(locked @ LogFileError::Locked { .. })) => Err(locked),
         Ok(Err(error)) => {
             tracing::error!(%error, "the log cannot be opened: no paid set-up is sent");
             Ok(None)
