--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -8,14 +8,18 @@
 //! - [`Warmer`]: whom a front that starts asks, when, and when it counts as warm.
 //! - [`Feeds`]: how many warm starts a front feeds at a time.
 
+mod level;
 pub mod observations;
 mod store;
 mod transfers;
+mod validation;
+mod view;
 mod warm_start;
 pub mod wire;
 
-pub use store::{
-    KnowledgeStore, KnowledgeView, MergeError, MergeOutcome, ServerUpdate, MAX_HOPS, MAX_PEERS, MAX_SERVERS,
-};
+pub use level::{KnowledgeLevel, LevelReason};
+pub use store::{KnowledgeStore, MergeOutcome, ServerUpdate, MAX_HOPS, MAX_PEERS, MAX_SERVERS};
 pub use transfers::{KnowledgeTransfers, RetainedMessage, TransferRefused};
-pub use warm_start::{KnowledgeLevel, LevelReason, PeerRequest, WarmStart, WarmStartConfig};
+pub use validation::MergeError;
+pub use view::KnowledgeView;
+pub use warm_start::{PeerRequest, WarmStart, WarmStartConfig};
--- a/crates/knowledge/src/store.rs
+++ b/crates/knowledge/src/store.rs
@@ -1,8 +1,9 @@
 //! One front's knowledge: what it observed itself, and what it heard.
 
 use crate::observations::*;
-use crate::wire::{Message, WireObservations};
-use crate::KnowledgeLevel;
+use crate::validation::{check, MergeError};
+use crate::view::KnowledgeView;
+use crate::wire::Message;
 use imbl::OrdMap;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,28 +15,6 @@
 pub const MAX_PEERS: usize = 64;
 /// Over so many fronts a piece may come; further it is not passed on.
 pub const MAX_HOPS: u8 = 3;
-/// Oldest age that a message may tell, ms: a day. What is older is no observation but a fault.
-const OLDEST_MS: u32 = 86_400_000;
-
-/// Why a message is not merged. Nothing of it is then.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[allow(missing_docs)] // the messages say it
-pub enum MergeError {
-    #[error("of another fleet")]
-    OtherFleet,
-    #[error("not the answer to what was asked: a replay")]
-    NonceMismatch,
-    #[error("its own")]
-    OwnMessage,
-    #[error("older than one that was merged from the same sender")]
-    StaleSequence,
-    #[error("an observer's later observation is told as older than its earlier one")]
-    InconsistentAges,
-    #[error("more than {MAX_SERVERS} servers")]
-    TooManyServers,
-    #[error("an age, a reading or a count that cannot be")]
-    OutOfRange,
-}
 
 /// What a merge brought of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -55,18 +34,6 @@
     pub peers: Vec<SocketAddr>,
 }
 
-/// A snapshot of a book: taken in constant time, read without blocking its owner.
-#[derive(Clone, Debug)]
-pub struct KnowledgeView {
-    me: Observer,
-    fleet_id: u64,
-    horizon: Duration,
-    seq: u64,
-    own: OrdMap<u64, ServerObservations>,
-    heard: OrdMap<u64, ServerObservations>,
-    changed: OrdMap<u64, u64>,
-}
-
 /// The book itself.
 #[derive(Debug)]
 pub struct KnowledgeStore {
@@ -275,97 +242,3 @@
         delivered_share: other(f.delivered_share, me),
     }
 }
-
-/// Ranges, and that each observer's later observations are the younger ones: the cheapest lie on ages.
-fn check(m: &Message) -> Result<(), MergeError> {
-    let mut told: BTreeMap<Observer, Vec<(u64, u32)>> = BTreeMap::new();
-    for (_, wire) in &m.servers {
-        for (origin, age, hops) in wire.provenances() {
-            if age > OLDEST_MS || hops > MAX_HOPS {
-                return Err(MergeError::OutOfRange);
-            }
-            told.entry(origin.observer).or_default().push((origin.seq, age));
-        }
-        if wire.readings().any(|r| r.0 > 1_000_000) {
-            return Err(MergeError::OutOfRange);
-        }
-    }
-    for mut all in told.into_values() {
-        all.sort_unstable();
-        if all.windows(2).any(|w| w[0].0 < w[1].0 && w[1].1 > w[0].1.saturating_add(AGE_GRAIN_MS)) {
-            return Err(MergeError::InconsistentAges);
-        }
-    }
-    Ok(())
-}
-
-/// Ages of pieces that came over different ways differ by the ways' lengths.
-const AGE_GRAIN_MS: u32 = 2_000;
-
-impl KnowledgeView {
-    /// What is heard of a server, without what the front knows as well or better itself. What it heard
-    /// itself goes before all; a newer word on a drain or a start goes before its own older one.
-    fn better(&self, now: Duration, server: u64) -> ServerObservations {
-        let Some(heard) = self.heard.get(&server) else { return ServerObservations::default() };
-        let heard = heard.within(now, self.horizon);
-        let own = self.own.get(&server).copied().unwrap_or_default().within(now, self.horizon);
-        let newer = |h: &Versioned<ListedState>| own.state.is_none_or(|o| h.value.version > o.value.version);
-        let later =
-            |h: &Versioned<ProcessStart>| own.start.is_none_or(|o| h.value.incarnation > o.value.incarnation);
-        let current = own.start.or(heard.start).map(|s| s.value.incarnation);
-        ServerObservations {
-            state: heard.state.filter(newer),
-            start: heard.start.filter(later),
-            health: heard
-                .health
-                .filter(|h| own.health.is_none() && current.is_none_or(|i| h.value.incarnation >= i)),
-            link_load: heard.link_load.filter(|_| own.link_load.is_none()),
-            uplink_load: heard.uplink_load.filter(|_| own.uplink_load.is_none()),
-            delivered_share: heard.delivered_share.filter(|_| own.delivered_share.is_none()),
-        }
-    }
-
-    /// Number of the last change: what to ask the next delta after.
-    pub fn seq(&self) -> u64 {
-        self.seq
-    }
-
-    /// How many servers something is known of.
-    pub fn server_count(&self) -> usize {
-        self.own.len().max(self.heard.len())
-    }
-
-    /// A message for a peer: all, or what changed after that number. Pieces past the horizon and those that
-    /// came too far are left out; each one that was heard has come one front further.
-    pub fn message(
-        &self,
-        now: Duration,
-        nonce: u64,
-        since_seq: Option<u64>,
-        level: KnowledgeLevel,
-        peers: Vec<SocketAddr>,
-    ) -> Message {
-        let mut servers = Vec::new();
-        let ids = self.changed.iter().filter(|(_, seq)| since_seq.is_none_or(|a| **seq > a));
-        for (server, _) in ids {
-            let mut observations = self.own.get(server).copied().unwrap_or_default();
-            if let Some(heard) = self.heard.get(server) {
-                observations.join(heard);
-            }
-            let wire = WireObservations::of(&observations.within(now, self.horizon), now);
-            if wire != WireObservations::default() {
-                servers.push((*server, wire));
-            }
-        }
-        Message {
-            fleet_id: self.fleet_id,
-            nonce,
-            sender: self.me,
-            seq: self.seq,
-            since_seq,
-            level,
-            peers,
-            servers,
-        }
-    }
-}
