--- a/crates/knowledge/src/level.rs
+++ b/crates/knowledge/src/level.rs
@@ -1,21 +1,21 @@
-//! How much a front knows after its start.
+//! Level of knowledge that a front has reached since its start, and the reason for it.
 
 use serde::{Deserialize, Serialize};
 
-/// How warm a front is.
+/// Level of a front's knowledge about servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum KnowledgeLevel {
-    /// It knows its last list at most.
+    /// The front knows at most the last server list that it persisted.
     #[default]
     Cold,
-    /// It asks its peers.
+    /// The front is requesting knowledge from its peers.
     Warming,
-    /// It knows what a running front knows.
+    /// The front knows as much as one that has been running for a while.
     Warm,
 }
 
 impl KnowledgeLevel {
-    /// A word for the health answer.
+    /// Text for health responses and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             KnowledgeLevel::Cold => "cold",
@@ -25,29 +25,29 @@
     }
 }
 
-/// Why it is so warm.
+/// Reason for the current [`KnowledgeLevel`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LevelReason {
-    /// It has not begun to ask.
+    /// The warm start has not begun.
     NotStarted,
-    /// It has no peers to ask.
+    /// No peer addresses are known.
     NoPeers,
-    /// It asks.
+    /// Requests to peers are pending.
     RequestsPending,
-    /// Enough warm peers answered.
+    /// The required number of warm peers answered.
     EnoughWarmPeers,
-    /// Time was up; fewer than enough warm peers answered.
+    /// The deadline passed with at least one warm answer, but fewer than required.
     FewWarmPeers,
-    /// Peers answered, all as cold as this one.
+    /// Peers answered, but none of them was warm.
     AllPeersCold,
-    /// No peer answered in time.
+    /// No peer answered before the deadline.
     NoAnswerInTime,
-    /// It has listened for a whole horizon itself.
+    /// The front has collected its own observations for a whole horizon.
     HorizonElapsed,
 }
 
 impl LevelReason {
-    /// In words.
+    /// Text for health responses and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             LevelReason::NotStarted => "not begun",
--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -1,12 +1,13 @@
-//! What fronts know of servers: kept as pieces with their age and origin, merged by a lattice, exchanged
-//! between fronts. No I/O and no wall clock: times are each front's own, and a piece travels with its age.
+//! Fronts' knowledge about servers: versioned observations with age and origin, merged as a lattice and exchanged
+//! between fronts. Without I/O and without a wall clock: times are on each front's own clock, and an observation
+//! is sent with its age.
 //!
-//! - [`facts`]: the pieces and how two of them join.
-//! - [`Book`]: one front's own pieces and those it heard; [`BookView`] is a snapshot that readers take
-//!   without blocking the book's owner.
-//! - [`wire`]: messages between fronts, with version and checksum.
-//! - [`Warmer`]: whom a front that starts asks, when, and when it counts as warm.
-//! - [`Feeds`]: how many warm starts a front feeds at a time.
+//! - [`observations`]: the observations and their join.
+//! - [`KnowledgeStore`]: observations made by this front and observations received from peers;
+//!   [`KnowledgeView`] is a snapshot that readers use without blocking the store's owner.
+//! - [`wire`]: messages between fronts, with format version and checksum.
+//! - [`WarmStart`]: requests to peers after a start, and the decision when the front is warm.
+//! - [`KnowledgeTransfers`]: limit on concurrent transfers to peers, and messages retained for resumption.
 
 mod level;
 pub mod observations;
--- a/crates/knowledge/src/observations.rs
+++ b/crates/knowledge/src/observations.rs
@@ -1,131 +1,131 @@
-//! Pieces of knowledge and their lattice.
+//! Observations of servers and their lattice.
 //!
-//! Each kind of piece has one total order; joining two takes the greater. So joining is associative,
-//! commutative and idempotent, whatever way pieces come and however often. The order says who is right:
+//! Each kind of observation has one total order, and the join of two is the greater one. The join is therefore
+//! associative, commutative and idempotent, regardless of the order in which observations arrive or how often:
 //!
-//! | piece | greater is |
+//! | observation | greater is |
 //! |---|---|
-//! | [`State`] | the higher list version, then the more careful state |
-//! | [`Start`] | the higher incarnation, then the later start (colder) |
-//! | [`Health`] | the higher incarnation of the server, then the later observation, then the worse |
-//! | [`Reading`] | the later observation, then the fuller |
+//! | [`ListedState`] | the higher list version, then the more careful status |
+//! | [`ProcessStart`] | the higher incarnation, then the later start (colder) |
+//! | [`Health`] | the higher incarnation of the server, then the later observation, then the worse health |
+//! | [`Reading`] | the later observation, then the higher reading |
 //!
-//! Safety (drains, starts) goes by versions and incarnations and never by ages, so no wrong age and no jump
-//! of a clock lets a drained server look open or a cold one warm. Facts (load, health) go by age.
+//! Safety-relevant observations (drains, starts) are ordered by version and incarnation, never by age. A wrong age
+//! or a clock jump therefore cannot make a drained server look open or a cold one warm. Load and health are ordered
+//! by age.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A front's process: its instance, and a number that each start of it draws anew.
+/// Front process that makes observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Observer {
-    /// The instance.
+    /// Id of the front instance.
     pub instance: u64,
-    /// Its incarnation.
+    /// Random number that identifies the process start.
     pub incarnation: u64,
 }
 
-/// One observation, by whoever made it.
+/// Identity of one observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Origin {
-    /// Who made it.
+    /// Front process that made the observation.
     pub observer: Observer,
-    /// Its number among all that the observer made.
+    /// Sequence number among all observations of that observer.
     pub seq: u64,
 }
 
-/// When and by whom a piece was observed.
+/// Time and origin of an observation, and the hops that it has travelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Provenance {
-    /// On the clock of the front that holds the piece; never later than it truly was.
+    /// Time on the clock of the front that holds the observation; never later than the true time.
     pub observed_at: Duration,
-    /// Which observation.
+    /// Identity of the observation.
     pub origin: Origin,
-    /// Over how many fronts it came; 0: the holder's own.
+    /// Number of fronts that have passed the observation on; 0 for the holder's own.
     pub hops: u8,
 }
 
 impl Provenance {
-    /// Its age.
+    /// Time since the observation.
     pub fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.observed_at)
     }
 
-    /// How far it can be trusted: 1 when new, 0 at the horizon.
+    /// Confidence in the observation: 1 when new, falling linearly to 0 at the horizon.
     pub fn confidence(&self, now: Duration, horizon: Duration) -> f64 {
         (1.0 - self.age(now).as_secs_f64() / horizon.as_secs_f64().max(1e-9)).max(0.0)
     }
 }
 
-/// A server's state in the list, the more careful the greater.
+/// Status of a server in the server list. The more careful status is the greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerStatus {
-    /// Takes new work.
+    /// Accepts new sessions.
     Serving,
-    /// Finishes what it has.
+    /// Finishes its sessions and accepts no new ones.
     Draining,
-    /// Is gone.
+    /// No longer in the list.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// A server's state at a version of the list.
+/// Status of a server at a version of the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ListedState {
-    /// The list's version.
+    /// Version of the server list.
     pub version: u64,
-    /// The state.
+    /// Status in that version.
     #[serde(rename = "standing")]
     pub status: ServerStatus,
 }
 
-/// A start of a server's process.
+/// Start of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessStart {
-    /// Rises with each start.
+    /// Incarnation of the server; rises with each start.
     pub incarnation: u64,
-    /// How long ago it was when it was observed, ms; `None`: long ago. The start itself lies that much before
-    /// [`Seen::at`].
+    /// Time between the start and [`Provenance::observed_at`]; `None` if the start was long ago.
     #[serde(rename = "before_ms")]
     pub uptime_ms: Option<u32>,
 }
 
-/// How a server's process behaves.
+/// Health of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Health {
-    /// Of which process: an older one's health says nothing of the next.
+    /// Incarnation that was observed; says nothing about later ones.
     pub incarnation: u64,
-    /// Failures in a row; 0: it works.
+    /// Number of failures since the last success; 0 if the process works.
     #[serde(rename = "failures")]
     pub consecutive_failures: u32,
-    /// It failed in a way that may mean a restart.
+    /// True if the last failure may have been caused by a restart.
     #[serde(rename = "lost")]
     pub may_have_restarted: bool,
 }
 
-/// A reading in thousandths: what is asked over what is given, or the share delivered.
+/// Ratio in thousandths: requested over available rate, or the share of requested data delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Reading(pub u32);
 
 impl Reading {
-    /// From a share; out of range counts as the nearest.
+    /// Converts a ratio; clamps it to 0..=1000.
     pub fn from_ratio(ratio: f64) -> Reading {
         Reading((ratio.clamp(0.0, 1000.0) * 1e3).round() as u32)
     }
 
-    /// As a share.
+    /// Converts back to a ratio.
     pub fn ratio(self) -> f64 {
         f64::from(self.0) / 1e3
     }
 }
 
-/// A value that joins.
+/// Kind of observation that can be joined.
 pub trait Observation: Copy + Ord {
-    /// What goes before the time of observation in the order, the greater the righter.
+    /// First criterion of the order, compared before the time of observation.
     type Rank: Ord;
 
-    /// See [`Fact::Rank`].
-    fn rank(&self, at: Duration) -> Self::Rank;
+    /// Returns the rank of an observation made at `observed_at`.
+    fn rank(&self, observed_at: Duration) -> Self::Rank;
 }
 
 impl Observation for ListedState {
@@ -137,11 +137,14 @@
 }
 
 impl Observation for ProcessStart {
-    /// Incarnation, then the start's time; long ago is before any.
+    /// Incarnation, then the time of the start; `None` (long ago) is the smallest.
     type Rank = (u64, Option<Duration>);
 
-    fn rank(&self, at: Duration) -> Self::Rank {
-        (self.incarnation, self.uptime_ms.map(|ms| at.saturating_sub(Duration::from_millis(ms.into()))))
+    fn rank(&self, observed_at: Duration) -> Self::Rank {
+        (
+            self.incarnation,
+            self.uptime_ms.map(|ms| observed_at.saturating_sub(Duration::from_millis(ms.into()))),
+        )
     }
 }
 
@@ -159,12 +162,12 @@
     fn rank(&self, _: Duration) {}
 }
 
-/// A fact with its observation.
+/// Observation with its provenance: an element of the lattice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// The fact.
+    /// The observation.
     pub value: T,
-    /// Its observation.
+    /// Time and origin of the observation.
     pub provenance: Provenance,
 }
 
@@ -179,7 +182,7 @@
         )
     }
 
-    /// The greater of two.
+    /// Returns the greater of two observations.
     pub fn join(self, other: Self) -> Self {
         if other.key() > self.key() {
             other
@@ -189,34 +192,34 @@
     }
 }
 
-/// Joins into a slot; whether it changed.
+/// Joins an observation into a slot. Returns whether the slot changed.
 pub(crate) fn join<T: Observation>(slot: &mut Option<Versioned<T>>, other: Option<Versioned<T>>) -> bool {
     let Some(other) = other else { return false };
-    let joined = slot.map_or(other, |own| own.join(other));
+    let joined = slot.map_or(other, |current| current.join(other));
     let changed = *slot != Some(joined);
     *slot = Some(joined);
     changed
 }
 
-/// All that is known of one server.
+/// Latest observations of one server, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerObservations {
-    /// Its state in the list.
+    /// State in the server list.
     pub state: Option<Versioned<ListedState>>,
-    /// Its last start.
+    /// Last start of the process.
     pub start: Option<Versioned<ProcessStart>>,
-    /// Its health.
+    /// Health of the process.
     pub health: Option<Versioned<Health>>,
-    /// What is asked of its link.
+    /// Load of the server's link.
     pub link_load: Option<Versioned<Reading>>,
-    /// What is asked of its rack's uplink.
+    /// Load of the rack's uplink.
     pub uplink_load: Option<Versioned<Reading>>,
-    /// The share that it delivers.
+    /// Share of the requested data that the server delivers.
     pub delivered_share: Option<Versioned<Reading>>,
 }
 
 impl ServerObservations {
-    /// Joins all pieces; whether any changed.
+    /// Joins all kinds of observations. Returns whether any changed.
     pub fn join(&mut self, other: &ServerObservations) -> bool {
         let changed = [
             join(&mut self.state, other.state),
@@ -229,29 +232,33 @@
         changed.contains(&true)
     }
 
-    /// What is left once pieces past the horizon are dropped. States and starts go by versions and stay.
+    /// Returns the observations without expired ones. States and starts are versioned and never expire here.
     pub fn within(&self, now: Duration, horizon: Duration) -> ServerObservations {
-        fn keep<T>(piece: Option<Versioned<T>>, now: Duration, horizon: Duration) -> Option<Versioned<T>> {
-            piece.filter(|p| p.provenance.age(now) < horizon)
+        fn unexpired<T>(
+            slot: Option<Versioned<T>>,
+            now: Duration,
+            horizon: Duration,
+        ) -> Option<Versioned<T>> {
+            slot.filter(|o| o.provenance.age(now) < horizon)
         }
-        // A health of a process that is not the last one says nothing.
+        // Health of an earlier incarnation says nothing about the current one.
         let current = self.start.map(|s| s.value.incarnation);
         let health = self.health.filter(|h| current.is_none_or(|i| i == h.value.incarnation));
-        // Load of a process that has gone is not the next one's.
-        let started = |at: Duration| {
+        // Load observed before the last start belongs to an earlier incarnation.
+        let started_by = |at: Duration| {
             self.start.is_none_or(|s| {
                 s.value.uptime_ms.is_none() || s.value.rank(s.provenance.observed_at).1 <= Some(at)
             })
         };
-        let load = |p: Option<Versioned<Reading>>| {
-            keep(p, now, horizon).filter(|p| started(p.provenance.observed_at))
+        let load = |slot: Option<Versioned<Reading>>| {
+            unexpired(slot, now, horizon).filter(|o| started_by(o.provenance.observed_at))
         };
         ServerObservations {
             state: self.state,
             start: self.start,
-            health: keep(health, now, horizon),
+            health: unexpired(health, now, horizon),
             link_load: load(self.link_load),
-            uplink_load: keep(self.uplink_load, now, horizon),
+            uplink_load: unexpired(self.uplink_load, now, horizon),
             delivered_share: load(self.delivered_share),
         }
     }
--- a/crates/knowledge/src/store.rs
+++ b/crates/knowledge/src/store.rs
@@ -1,7 +1,7 @@
-//! One front's knowledge: what it observed itself, and what it heard.
+//! Store of one front's knowledge: its own observations and those received from peers.
 
 use crate::observations::*;
-use crate::validation::{check, MergeError};
+use crate::validation::{validate, MergeError};
 use crate::view::KnowledgeView;
 use crate::wire::Message;
 use imbl::OrdMap;
@@ -9,50 +9,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most servers in a book. Past them nothing new is taken in.
+/// Maximum number of servers in a store. Observations of further servers are ignored.
 pub const MAX_SERVERS: usize = 65_536;
-/// Most peers' addresses that are passed on.
+/// Maximum number of peer addresses in a message.
 pub const MAX_PEERS: usize = 64;
-/// Over so many fronts a piece may come; further it is not passed on.
+/// Maximum number of hops between fronts; an observation that has reached it is not passed on.
 pub const MAX_HOPS: u8 = 3;
 
-/// What a merge brought of one server.
+/// Result of a merge for one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerUpdate {
-    /// The server.
+    /// Id of the server.
     pub server: u64,
-    /// What is now heard of it, and not better known by the front itself.
+    /// Received observations that are better than this front's own.
     pub observations: ServerObservations,
 }
 
-/// What a merge brought.
+/// Result of a merge.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MergeOutcome {
-    /// Servers of which something new was heard.
+    /// Servers with new observations.
     pub updates: Vec<ServerUpdate>,
-    /// Peers that the sender knows.
+    /// Addresses of peers that the sender knows.
     pub peers: Vec<SocketAddr>,
 }
 
-/// The book itself.
+/// Store of one front's knowledge.
 #[derive(Debug)]
 pub struct KnowledgeStore {
     view: KnowledgeView,
-    /// Last message merged of each sender.
-    senders: BTreeMap<Observer, u64>,
+    /// Sequence number of the last message merged, by sender.
+    last_merged: BTreeMap<Observer, u64>,
 }
 
 impl KnowledgeStore {
-    /// An empty book. `horizon`: what is older says nothing any more.
-    pub fn new(me: Observer, fleet_id: u64, horizon: Duration) -> Self {
-        let (own, heard, changed) = (OrdMap::new(), OrdMap::new(), OrdMap::new());
+    /// Creates an empty store. Load and health older than `horizon` are ignored.
+    pub fn new(observer: Observer, fleet_id: u64, horizon: Duration) -> Self {
+        let (own, received, last_change) = (OrdMap::new(), OrdMap::new(), OrdMap::new());
         KnowledgeStore {
-            view: KnowledgeView { me, fleet_id, horizon, seq: 0, own, heard, changed },
-            senders: BTreeMap::new(),
+            view: KnowledgeView { observer, fleet_id, horizon, seq: 0, own, received, last_change },
+            last_merged: BTreeMap::new(),
         }
     }
 
-    /// A snapshot.
+    /// Takes a snapshot in constant time.
     pub fn view(&self) -> KnowledgeView {
         self.view.clone()
     }
@@ -61,56 +61,61 @@
         &mut self,
         now: Duration,
         server: u64,
-        put: impl FnOnce(&mut ServerObservations, Provenance) -> bool,
+        update: impl FnOnce(&mut ServerObservations, Provenance) -> bool,
     ) {
-        let v = &mut self.view;
-        let mut observations = v.own.get(&server).copied().unwrap_or_default();
-        if !v.own.contains_key(&server) && v.own.len() >= MAX_SERVERS {
+        let view = &mut self.view;
+        let mut known = view.own.get(&server).copied().unwrap_or_default();
+        if !view.own.contains_key(&server) && view.own.len() >= MAX_SERVERS {
             return;
         }
-        let provenance =
-            Provenance { observed_at: now, origin: Origin { observer: v.me, seq: v.seq + 1 }, hops: 0 };
-        if put(&mut observations, provenance) {
-            v.seq += 1;
-            v.own.insert(server, observations);
-            v.changed.insert(server, v.seq);
+        let provenance = Provenance {
+            observed_at: now,
+            origin: Origin { observer: view.observer, seq: view.seq + 1 },
+            hops: 0,
+        };
+        if update(&mut known, provenance) {
+            view.seq += 1;
+            view.own.insert(server, known);
+            view.last_change.insert(server, view.seq);
         }
     }
 
-    /// The own list told a state.
+    /// Records a server's state in this front's own server list.
     pub fn record_state(&mut self, now: Duration, server: u64, state: ListedState) {
-        self.observe(now, server, |f, provenance| {
-            join(&mut f.state, Some(Versioned { value: state, provenance }))
+        self.observe(now, server, |known, provenance| {
+            join(&mut known.state, Some(Versioned { value: state, provenance }))
         });
     }
 
-    /// The own list told a start. A new process's health and load are not the old one's.
+    /// Records a process start from this front's own server list. Health and load of the earlier incarnation are
+    /// dropped.
     pub fn record_start(&mut self, now: Duration, server: u64, start: ProcessStart) {
-        self.observe(now, server, |f, provenance| {
-            let known = f.start.map(|s| s.value.incarnation);
-            if known.is_some_and(|k| k >= start.incarnation) {
-                return false; // told again, some milliseconds off
+        self.observe(now, server, |known, provenance| {
+            let incarnation = known.start.map(|s| s.value.incarnation);
+            if incarnation.is_some_and(|i| i >= start.incarnation) {
+                return false; // reported again; its uptime may differ by some milliseconds
             }
-            if known.is_some() {
-                (f.health, f.link_load, f.delivered_share) = (None, None, None);
+            if incarnation.is_some() {
+                (known.health, known.link_load, known.delivered_share) = (None, None, None);
             }
-            join(&mut f.start, Some(Versioned { value: start, provenance }))
+            join(&mut known.start, Some(Versioned { value: start, provenance }))
         });
     }
 
-    /// The front's own attempt there worked, or failed; `lost`: in a way that may mean a restart.
+    /// Records the outcome of this front's own attempt at a server. `may_have_restarted` is true if the failure may
+    /// have been caused by a restart.
     pub fn record_outcome(&mut self, now: Duration, server: u64, succeeded: bool, may_have_restarted: bool) {
-        self.observe(now, server, |f, provenance| {
-            let incarnation = f.start.map_or(0, |s| s.value.incarnation);
-            let consecutive_failures = f
+        self.observe(now, server, |known, provenance| {
+            let incarnation = known.start.map_or(0, |s| s.value.incarnation);
+            let consecutive_failures = known
                 .health
                 .filter(|h| h.value.incarnation == incarnation)
                 .map_or(0, |h| h.value.consecutive_failures);
             if succeeded
                 && consecutive_failures == 0
-                && f.health.is_some_and(|h| h.provenance.age(now) < FRESH)
+                && known.health.is_some_and(|h| h.provenance.age(now) < HEALTH_REFRESH_INTERVAL)
             {
-                return false; // the usual: not worth a change each time
+                return false; // a success in a row of successes is not worth a change each time
             }
             let consecutive_failures = if succeeded { 0 } else { consecutive_failures.saturating_add(1) };
             let health = Health {
@@ -118,11 +123,11 @@
                 consecutive_failures,
                 may_have_restarted: may_have_restarted && !succeeded,
             };
-            join(&mut f.health, Some(Versioned { value: health, provenance }))
+            join(&mut known.health, Some(Versioned { value: health, provenance }))
         });
     }
 
-    /// An answer told the load.
+    /// Records the load that a server reported in an answer.
     pub fn record_load(
         &mut self,
         now: Duration,
@@ -131,114 +136,123 @@
         uplink_load: Option<f64>,
         delivered_share: Option<f64>,
     ) {
-        self.observe(now, server, |f, provenance| {
-            let piece =
-                |share: Option<f64>| share.map(|s| Versioned { value: Reading::from_ratio(s), provenance });
-            let (a, b) =
-                (join(&mut f.link_load, piece(link_load)), join(&mut f.uplink_load, piece(uplink_load)));
-            join(&mut f.delivered_share, piece(delivered_share)) || a || b
+        self.observe(now, server, |known, provenance| {
+            let reading = |ratio: Option<f64>| {
+                ratio.map(|ratio| Versioned { value: Reading::from_ratio(ratio), provenance })
+            };
+            let (link_changed, uplink_changed) = (
+                join(&mut known.link_load, reading(link_load)),
+                join(&mut known.uplink_load, reading(uplink_load)),
+            );
+            join(&mut known.delivered_share, reading(delivered_share)) || link_changed || uplink_changed
         });
     }
 
-    /// Merges a peer's message. `sent_at`: when the question went out, on this front's clock; ages count from
-    /// then, so that nothing looks younger than it is. `nonce`: what was asked with.
+    /// Merges a peer's answer to a request that carried `nonce` and was sent at `sent_at` on this front's clock.
+    /// Ages count from `sent_at`, so that no observation looks younger than it is.
     ///
     /// # Errors
-    /// It cannot be trusted; nothing of it is merged.
+    /// The message is not trustworthy; nothing of it is merged.
     pub fn merge(
         &mut self,
         now: Duration,
         sent_at: Duration,
         nonce: u64,
-        m: &Message,
+        message: &Message,
     ) -> Result<MergeOutcome, MergeError> {
-        if m.fleet_id != self.view.fleet_id {
+        if message.fleet_id != self.view.fleet_id {
             return Err(MergeError::OtherFleet);
         }
-        if m.nonce != nonce {
+        if message.nonce != nonce {
             return Err(MergeError::NonceMismatch);
         }
-        if m.sender.instance == self.view.me.instance {
+        if message.sender.instance == self.view.observer.instance {
             return Err(MergeError::OwnMessage);
         }
-        if m.servers.len() > MAX_SERVERS || m.peers.len() > MAX_PEERS {
+        if message.servers.len() > MAX_SERVERS || message.peers.len() > MAX_PEERS {
             return Err(MergeError::TooManyServers);
         }
-        if self.senders.get(&m.sender).is_some_and(|seq| m.seq < *seq) {
+        if self.last_merged.get(&message.sender).is_some_and(|seq| message.seq < *seq) {
             return Err(MergeError::StaleSequence);
         }
-        check(m)?;
-        self.senders.insert(m.sender, m.seq);
-        if self.senders.len() > MAX_SERVERS {
-            self.senders.pop_first();
+        validate(message)?;
+        self.last_merged.insert(message.sender, message.seq);
+        if self.last_merged.len() > MAX_SERVERS {
+            self.last_merged.pop_first();
         }
-        let mut out = MergeOutcome { peers: m.peers.clone(), ..MergeOutcome::default() };
-        for (server, wire) in &m.servers {
-            let told = wire.observations(sent_at);
-            let told = own_left_out(&told, self.view.me.instance).within(now, self.view.horizon);
-            if let Some(observations) = self.hear(now, *server, &told) {
+        let mut out = MergeOutcome { peers: message.peers.clone(), ..MergeOutcome::default() };
+        for (server, wire) in &message.servers {
+            let received = wire.decode(sent_at);
+            let received = without_own(&received, self.view.observer.instance).within(now, self.view.horizon);
+            if let Some(observations) = self.merge_server(now, *server, &received) {
                 out.updates.push(ServerUpdate { server: *server, observations });
             }
         }
         Ok(out)
     }
 
-    fn hear(&mut self, now: Duration, server: u64, told: &ServerObservations) -> Option<ServerObservations> {
-        let v = &mut self.view;
-        let known = v.heard.get(&server).copied();
-        if known.is_none() && v.heard.len() >= MAX_SERVERS {
+    fn merge_server(
+        &mut self,
+        now: Duration,
+        server: u64,
+        received: &ServerObservations,
+    ) -> Option<ServerObservations> {
+        let view = &mut self.view;
+        let known = view.received.get(&server).copied();
+        if known.is_none() && view.received.len() >= MAX_SERVERS {
             return None;
         }
-        let mut heard = known.unwrap_or_default();
-        if !heard.join(told) {
+        let mut merged = known.unwrap_or_default();
+        if !merged.join(received) {
             return None;
         }
-        v.seq += 1;
-        v.heard.insert(server, heard);
-        v.changed.insert(server, v.seq);
-        let better = self.view.better(now, server);
+        view.seq += 1;
+        view.received.insert(server, merged);
+        view.last_change.insert(server, view.seq);
+        let better = self.view.better_from_peers(now, server);
         (better != ServerObservations::default()).then_some(better)
     }
 
-    /// What is heard of a server and not better known by the front itself.
+    /// Returns the received observations of a server that are better than this front's own.
     pub fn peer_observations(&self, now: Duration, server: u64) -> ServerObservations {
-        self.view.better(now, server)
+        self.view.better_from_peers(now, server)
     }
 
-    /// Servers of which something was heard.
+    /// Ids of the servers with observations received from peers.
     pub fn servers_from_peers(&self) -> Vec<u64> {
-        self.view.heard.keys().copied().collect()
+        self.view.received.keys().copied().collect()
     }
 
-    /// Drops what is past the horizon; a piece that came from elsewhere never outlives its origin.
+    /// Drops received observations older than the horizon, states and starts included. The age counts from the
+    /// original observation, however many fronts have passed it on.
     pub fn remove_expired(&mut self, now: Duration) {
         let horizon = self.view.horizon;
-        let v = &mut self.view;
-        let kept = v.heard.iter().filter_map(|(server, f)| {
-            let mut f = f.within(now, horizon);
-            f.state = f.state.filter(|p| p.provenance.age(now) < horizon);
-            f.start = f.start.filter(|p| p.provenance.age(now) < horizon);
-            (f != ServerObservations::default()).then_some((*server, f))
+        let view = &mut self.view;
+        let unexpired = view.received.iter().filter_map(|(server, known)| {
+            let mut known = known.within(now, horizon);
+            known.state = known.state.filter(|o| o.provenance.age(now) < horizon);
+            known.start = known.start.filter(|o| o.provenance.age(now) < horizon);
+            (known != ServerObservations::default()).then_some((*server, known))
         });
-        v.heard = kept.collect();
+        view.received = unexpired.collect();
     }
 }
 
-/// A working server's health is told anew at most so often.
-const FRESH: Duration = Duration::from_secs(1);
+/// Minimum time between two recordings of a working server's health.
+const HEALTH_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What others say that this very front once saw is no second witness.
-fn own_left_out(f: &ServerObservations, me: u64) -> ServerObservations {
-    fn other<T: Copy>(p: Option<Versioned<T>>, me: u64) -> Option<Versioned<T>> {
-        p.filter(|p| p.provenance.origin.observer.instance != me)
+/// Drops observations that this front made itself and receives back: they confirm nothing.
+fn without_own(observations: &ServerObservations, instance: u64) -> ServerObservations {
+    fn other<T: Copy>(slot: Option<Versioned<T>>, instance: u64) -> Option<Versioned<T>> {
+        slot.filter(|o| o.provenance.origin.observer.instance != instance)
     }
     ServerObservations {
-        // Its own list of before a restart is its last list, which it has.
-        state: other(f.state, me),
-        start: f.start,
-        health: other(f.health, me),
-        link_load: other(f.link_load, me),
-        uplink_load: other(f.uplink_load, me),
-        delivered_share: other(f.delivered_share, me),
+        // States that this front observed before a restart are in its persisted server list.
+        state: other(observations.state, instance),
+        start: observations.start,
+        health: other(observations.health, instance),
+        link_load: other(observations.link_load, instance),
+        uplink_load: other(observations.uplink_load, instance),
+        delivered_share: other(observations.delivered_share, instance),
     }
 }
--- a/crates/knowledge/src/transfers.rs
+++ b/crates/knowledge/src/transfers.rs
@@ -1,81 +1,88 @@
-//! The server side of warm starts: how many are fed at a time, and messages kept for those that were cut off.
+//! Sender's side of warm starts: a limit on concurrent transfers, and messages retained so that an interrupted
+//! transfer can be resumed.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most messages kept, and their bytes together.
-const MOST_KEPT: usize = 16;
-const MOST_KEPT_BYTES: usize = 64 * 1024 * 1024;
-/// Time that a message is kept for whoever was cut off.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+/// Maximum number of retained messages.
+const MAX_RETAINED: usize = 16;
+/// Maximum total length of the retained messages.
+const MAX_RETAINED_BYTES: usize = 64 * 1024 * 1024;
+/// Time for which a message is retained for resumption.
+const RETENTION_PERIOD: Duration = Duration::from_secs(10);
 
-/// A message kept under its tag.
+/// Encoded message, retained under its entity tag.
 #[derive(Clone, Debug)]
 pub struct RetainedMessage {
-    /// The tag (HTTP's entity tag).
+    /// HTTP entity tag.
     pub etag: u64,
-    /// The bytes.
+    /// Encoded message.
     pub bytes: Arc<Vec<u8>>,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// Too many are fed: come back after this.
+/// A transfer was refused because the maximum number is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferRefused {
-    /// The hold-off.
+    /// Time after which the peer may retry.
     pub retry_after: Duration,
 }
 
-/// Counts feeds and keeps messages. Times are arguments.
+/// Running transfers of knowledge to peers, and retained messages.
 #[derive(Debug)]
 pub struct KnowledgeTransfers {
-    most: usize,
-    hold_off: Duration,
+    max_running: usize,
+    retry_after: Duration,
     running: usize,
-    next: u64,
-    kept: VecDeque<RetainedMessage>,
+    next_etag: u64,
+    retained: VecDeque<RetainedMessage>,
 }
 
 impl KnowledgeTransfers {
-    /// Feeds `most` at a time; others are told to come back after `hold_off`.
-    pub fn new(most: usize, hold_off: Duration) -> Self {
-        KnowledgeTransfers { most, hold_off, running: 0, next: 1, kept: VecDeque::new() }
+    /// Allows `max_running` concurrent transfers; further peers may retry after `retry_after`.
+    pub fn new(max_running: usize, retry_after: Duration) -> Self {
+        KnowledgeTransfers { max_running, retry_after, running: 0, next_etag: 1, retained: VecDeque::new() }
     }
 
-    /// A feed begins. Each one that does must end by [`Feeds::end`].
+    /// Begins a transfer, which must be ended by [`KnowledgeTransfers::end`].
     ///
     /// # Errors
-    /// As many run as may.
+    /// The maximum number of transfers is running.
     pub fn begin(&mut self) -> Result<(), TransferRefused> {
-        if self.running >= self.most {
-            return Err(TransferRefused { retry_after: self.hold_off });
+        if self.running >= self.max_running {
+            return Err(TransferRefused { retry_after: self.retry_after });
         }
         self.running += 1;
         Ok(())
     }
 
-    /// A feed ended.
+    /// Ends a transfer.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Keeps a message for a while; its tag.
+    /// Retains a message for resumption and assigns its entity tag. Evicts expired messages, and the oldest ones
+    /// beyond the limits.
     pub fn retain_message(&mut self, now: Duration, bytes: Vec<u8>) -> RetainedMessage {
-        let kept = RetainedMessage { etag: self.next, bytes: Arc::new(bytes), until: now + KEPT_FOR };
-        self.next += 1;
-        self.kept.push_back(kept.clone());
-        while self.kept.front().is_some_and(|k| k.until <= now)
-            || self.kept.len() > MOST_KEPT
-            || self.kept.iter().map(|k| k.bytes.len()).sum::<usize>() > MOST_KEPT_BYTES
+        let message = RetainedMessage {
+            etag: self.next_etag,
+            bytes: Arc::new(bytes),
+            expires_at: now + RETENTION_PERIOD,
+        };
+        self.next_etag += 1;
+        self.retained.push_back(message.clone());
+        while self.retained.front().is_some_and(|m| m.expires_at <= now)
+            || self.retained.len() > MAX_RETAINED
+            || self.retained.iter().map(|m| m.bytes.len()).sum::<usize>() > MAX_RETAINED_BYTES
         {
-            self.kept.pop_front();
+            self.retained.pop_front();
         }
-        kept
+        message
     }
 
-    /// A message that is still kept.
+    /// Returns a retained message that has not expired.
     pub fn retained_message(&self, now: Duration, etag: u64) -> Option<RetainedMessage> {
-        self.kept.iter().find(|k| k.etag == etag && k.until > now).cloned()
+        self.retained.iter().find(|m| m.etag == etag && m.expires_at > now).cloned()
     }
 }
--- a/crates/knowledge/src/validation.rs
+++ b/crates/knowledge/src/validation.rs
@@ -1,55 +1,57 @@
 //! Validation of peers' messages before they are merged.
 
 use crate::observations::*;
-use crate::store::{MAX_HOPS, MAX_SERVERS};
+use crate::store::{MAX_HOPS, MAX_PEERS, MAX_SERVERS};
 use crate::wire::Message;
 use std::collections::BTreeMap;
 
-/// Oldest age that a message may tell, ms: a day. What is older is no observation but a fault.
-const OLDEST_MS: u32 = 86_400_000;
+/// Maximum age of an observation in a message: one day. A greater age indicates a fault of the sender.
+const MAX_AGE_MS: u32 = 86_400_000;
 
-/// Why a message is not merged. Nothing of it is then.
+/// Reason why a message was rejected. Nothing of a rejected message is merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[allow(missing_docs)] // the messages say it
+#[allow(missing_docs)] // the error texts describe the variants
 pub enum MergeError {
-    #[error("of another fleet")]
+    #[error("message of another fleet")]
     OtherFleet,
-    #[error("not the answer to what was asked: a replay")]
+    #[error("nonce does not match the request: replayed answer")]
     NonceMismatch,
-    #[error("its own")]
+    #[error("message was sent by this front")]
     OwnMessage,
-    #[error("older than one that was merged from the same sender")]
+    #[error("message is older than one already merged from the same sender")]
     StaleSequence,
-    #[error("an observer's later observation is told as older than its earlier one")]
+    #[error("message gives an observer's later observation a greater age than its earlier one")]
     InconsistentAges,
-    #[error("more than {MAX_SERVERS} servers")]
+    #[error("message has more than {MAX_SERVERS} servers or {MAX_PEERS} peers")]
     TooManyServers,
-    #[error("an age, a reading or a count that cannot be")]
+    #[error("age, hop count or reading out of range")]
     OutOfRange,
 }
 
-/// Ranges, and that each observer's later observations are the younger ones: the cheapest lie on ages.
-pub(crate) fn check(m: &Message) -> Result<(), MergeError> {
-    let mut told: BTreeMap<Observer, Vec<(u64, u32)>> = BTreeMap::new();
-    for (_, wire) in &m.servers {
+/// Checks the ranges of ages, hops and readings, and that each observer's later observations have the smaller ages.
+/// The age check detects the simplest forgery: an old observation that is given a small age.
+pub(crate) fn validate(message: &Message) -> Result<(), MergeError> {
+    let mut ages_by_observer: BTreeMap<Observer, Vec<(u64, u32)>> = BTreeMap::new();
+    for (_, wire) in &message.servers {
         for (origin, age, hops) in wire.provenances() {
-            if age > OLDEST_MS || hops > MAX_HOPS {
+            if age > MAX_AGE_MS || hops > MAX_HOPS {
                 return Err(MergeError::OutOfRange);
             }
-            told.entry(origin.observer).or_default().push((origin.seq, age));
+            ages_by_observer.entry(origin.observer).or_default().push((origin.seq, age));
         }
         if wire.readings().any(|r| r.0 > 1_000_000) {
             return Err(MergeError::OutOfRange);
         }
     }
-    for mut all in told.into_values() {
-        all.sort_unstable();
-        if all.windows(2).any(|w| w[0].0 < w[1].0 && w[1].1 > w[0].1.saturating_add(AGE_GRAIN_MS)) {
+    for mut ages in ages_by_observer.into_values() {
+        ages.sort_unstable();
+        if ages.windows(2).any(|w| w[0].0 < w[1].0 && w[1].1 > w[0].1.saturating_add(AGE_TOLERANCE_MS)) {
             return Err(MergeError::InconsistentAges);
         }
     }
     Ok(())
 }
 
-/// Ages of pieces that came over different ways differ by the ways' lengths.
-const AGE_GRAIN_MS: u32 = 2_000;
+/// Tolerance when comparing ages of one observer's observations, which may have arrived over routes with different
+/// delays.
+const AGE_TOLERANCE_MS: u32 = 2_000;
--- a/crates/knowledge/src/view.rs
+++ b/crates/knowledge/src/view.rs
@@ -7,53 +7,62 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A snapshot of a book: taken in constant time, read without blocking its owner.
+/// Snapshot of a [`KnowledgeStore`](crate::KnowledgeStore): taken in constant time, read without blocking the
+/// store's owner.
 #[derive(Clone, Debug)]
 pub struct KnowledgeView {
-    pub(crate) me: Observer,
+    pub(crate) observer: Observer,
     pub(crate) fleet_id: u64,
     pub(crate) horizon: Duration,
+    /// Sequence number of the last change.
     pub(crate) seq: u64,
+    /// Observations made by this front, by server.
     pub(crate) own: OrdMap<u64, ServerObservations>,
-    pub(crate) heard: OrdMap<u64, ServerObservations>,
-    pub(crate) changed: OrdMap<u64, u64>,
+    /// Observations received from peers, by server.
+    pub(crate) received: OrdMap<u64, ServerObservations>,
+    /// Sequence number of the last change, by server.
+    pub(crate) last_change: OrdMap<u64, u64>,
 }
 
 impl KnowledgeView {
-    /// What is heard of a server, without what the front knows as well or better itself. What it heard
-    /// itself goes before all; a newer word on a drain or a start goes before its own older one.
-    pub(crate) fn better(&self, now: Duration, server: u64) -> ServerObservations {
-        let Some(heard) = self.heard.get(&server) else { return ServerObservations::default() };
-        let heard = heard.within(now, self.horizon);
+    /// Returns the received observations of a server that are better than this front's own.
+    ///
+    /// This front's own observations take precedence, except that a state of a newer list version or a start of a
+    /// later incarnation replaces its own older one.
+    pub(crate) fn better_from_peers(&self, now: Duration, server: u64) -> ServerObservations {
+        let Some(received) = self.received.get(&server) else { return ServerObservations::default() };
+        let received = received.within(now, self.horizon);
         let own = self.own.get(&server).copied().unwrap_or_default().within(now, self.horizon);
-        let newer = |h: &Versioned<ListedState>| own.state.is_none_or(|o| h.value.version > o.value.version);
+        let newer = |r: &Versioned<ListedState>| own.state.is_none_or(|o| r.value.version > o.value.version);
         let later =
-            |h: &Versioned<ProcessStart>| own.start.is_none_or(|o| h.value.incarnation > o.value.incarnation);
-        let current = own.start.or(heard.start).map(|s| s.value.incarnation);
+            |r: &Versioned<ProcessStart>| own.start.is_none_or(|o| r.value.incarnation > o.value.incarnation);
+        let current = own.start.or(received.start).map(|s| s.value.incarnation);
         ServerObservations {
-            state: heard.state.filter(newer),
-            start: heard.start.filter(later),
-            health: heard
+            state: received.state.filter(newer),
+            start: received.start.filter(later),
+            health: received
                 .health
-                .filter(|h| own.health.is_none() && current.is_none_or(|i| h.value.incarnation >= i)),
-            link_load: heard.link_load.filter(|_| own.link_load.is_none()),
-            uplink_load: heard.uplink_load.filter(|_| own.uplink_load.is_none()),
-            delivered_share: heard.delivered_share.filter(|_| own.delivered_share.is_none()),
+                .filter(|r| own.health.is_none() && current.is_none_or(|i| r.value.incarnation >= i)),
+            link_load: received.link_load.filter(|_| own.link_load.is_none()),
+            uplink_load: received.uplink_load.filter(|_| own.uplink_load.is_none()),
+            delivered_share: received.delivered_share.filter(|_| own.delivered_share.is_none()),
         }
     }
 
-    /// Number of the last change: what to ask the next delta after.
+    /// Sequence number of the last change; a later delta is requested with it.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// How many servers something is known of.
+    /// Number of servers with at least one observation.
     pub fn server_count(&self) -> usize {
-        self.own.len().max(self.heard.len())
+        self.own.len().max(self.received.len())
     }
 
-    /// A message for a peer: all, or what changed after that number. Pieces past the horizon and those that
-    /// came too far are left out; each one that was heard has come one front further.
+    /// Builds a message for a peer with all servers, or with those that changed after `since_seq`.
+    ///
+    /// Expired observations and those that have reached [`MAX_HOPS`](crate::MAX_HOPS) are left out. The hop count
+    /// of the others is one higher than here.
     pub fn message(
         &self,
         now: Duration,
@@ -63,13 +72,13 @@
         peers: Vec<SocketAddr>,
     ) -> Message {
         let mut servers = Vec::new();
-        let ids = self.changed.iter().filter(|(_, seq)| since_seq.is_none_or(|a| **seq > a));
-        for (server, _) in ids {
+        let changed = self.last_change.iter().filter(|(_, seq)| since_seq.is_none_or(|since| **seq > since));
+        for (server, _) in changed {
             let mut observations = self.own.get(server).copied().unwrap_or_default();
-            if let Some(heard) = self.heard.get(server) {
-                observations.join(heard);
+            if let Some(received) = self.received.get(server) {
+                observations.join(received);
             }
-            let wire = WireObservations::of(&observations.within(now, self.horizon), now);
+            let wire = WireObservations::encode(&observations.within(now, self.horizon), now);
             if wire != WireObservations::default() {
                 servers.push((*server, wire));
             }
@@ -77,7 +86,7 @@
         Message {
             fleet_id: self.fleet_id,
             nonce,
-            sender: self.me,
+            sender: self.observer,
             seq: self.seq,
             since_seq,
             level,
--- a/crates/knowledge/src/warm_start.rs
+++ b/crates/knowledge/src/warm_start.rs
@@ -1,229 +1,233 @@
-//! Whom a front that starts asks, when, and when it counts as warm. State in, actions out.
+//! Warm start of a front: decides which peers to request knowledge from and when the front is warm. Without I/O:
+//! the caller sends the requests and reports their outcomes.
 
 use crate::{KnowledgeLevel, LevelReason};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a front asks.
+/// Parameters of a warm start.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmStartConfig {
-    /// Peers asked at once.
+    /// Maximum number of concurrent requests, apart from hedges.
     pub max_parallel: usize,
-    /// Warm answers that are enough.
+    /// Number of answers from warm peers that complete the warm start.
     pub required_warm_answers: usize,
-    /// Another peer is asked when none has answered for so long.
+    /// Time since the last request after which a hedged request is sent to another peer.
     pub hedge_delay: Duration,
-    /// Time for all of it.
+    /// Maximum duration of the warm start.
     pub deadline: Duration,
-    /// The first question waits for up to this, so that half a fleet does not ask in one instant.
+    /// Maximum random delay of the first request, so that fronts started together do not send requests all at once.
     pub max_jitter: Duration,
-    /// Knowledge of its own after which a front counts as warm anyway.
+    /// Time after which a front counts as warm through its own observations.
     pub horizon: Duration,
 }
 
-/// A question to be sent.
+/// Request to be sent to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerRequest {
-    /// Whom.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// With which number: the answer must have it.
+    /// Random number that the answer must repeat.
     pub nonce: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Peer {
-    /// May be asked from then on.
-    Free(Duration),
-    /// Asked.
-    Asked,
-    /// Answered, or of no use.
+enum PeerState {
+    /// May be requested from this time on.
+    Available(Duration),
+    /// A request is pending.
+    Pending,
+    /// Has answered or failed.
     Done,
 }
 
-/// Most peers that are kept; further ones are not learned.
-const MOST: usize = 1_024;
-/// A question after this part of the hold-off that a busy peer names is spread by chance, so that those that
-/// were turned away together do not come back together.
-const SPREAD: f64 = 0.5;
+/// Maximum number of known peers; further addresses are ignored.
+const MAX_KNOWN_PEERS: usize = 1_024;
+/// Random share that is added to a busy peer's retry-after delay, so that fronts refused together do not retry
+/// together.
+const RETRY_JITTER: f64 = 0.5;
 
-/// Questions for each warm answer that is wanted.
-const ASKS_EACH: usize = 4;
+/// Maximum number of requests for each required warm answer.
+const MAX_REQUESTS_PER_ANSWER: usize = 4;
 
-/// The state of one warm start.
+/// State of one warm start.
 #[derive(Debug)]
 pub struct WarmStart {
-    set: WarmStartConfig,
+    config: WarmStartConfig,
     rng: fastrand::Rng,
-    me: Option<SocketAddr>,
-    peers: BTreeMap<SocketAddr, Peer>,
-    begun: Duration,
-    first: Duration,
-    last_asked: Duration,
-    asked: usize,
-    warm: usize,
-    cold: usize,
+    own_address: Option<SocketAddr>,
+    peers: BTreeMap<SocketAddr, PeerState>,
+    started_at: Duration,
+    first_request_at: Duration,
+    last_request_at: Duration,
+    request_count: usize,
+    warm_answers: usize,
+    cold_answers: usize,
     level: KnowledgeLevel,
-    why: LevelReason,
+    reason: LevelReason,
 }
 
 impl WarmStart {
-    /// Begins at `now`. `me`: the own address, which is never asked.
+    /// Begins a warm start at `now`. No requests are sent to `own_address`.
     pub fn new(
         now: Duration,
-        set: WarmStartConfig,
+        config: WarmStartConfig,
         seed: u64,
-        me: Option<SocketAddr>,
+        own_address: Option<SocketAddr>,
         peers: &[SocketAddr],
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let first = now + set.max_jitter.mul_f64(rng.f64());
-        let mut w = WarmStart {
-            set,
+        let first_request_at = now + config.max_jitter.mul_f64(rng.f64());
+        let mut warm_start = WarmStart {
+            config,
             rng,
-            me,
+            own_address,
             peers: BTreeMap::new(),
-            begun: now,
-            first,
-            last_asked: Duration::ZERO,
-            asked: 0,
-            warm: 0,
-            cold: 0,
+            started_at: now,
+            first_request_at,
+            last_request_at: Duration::ZERO,
+            request_count: 0,
+            warm_answers: 0,
+            cold_answers: 0,
             level: KnowledgeLevel::Cold,
-            why: LevelReason::NotStarted,
+            reason: LevelReason::NotStarted,
         };
-        w.add_peers(peers);
-        if w.peers.is_empty() {
-            w.why = LevelReason::NoPeers;
+        warm_start.add_peers(peers);
+        if warm_start.peers.is_empty() {
+            warm_start.reason = LevelReason::NoPeers;
         } else {
-            (w.level, w.why) = (KnowledgeLevel::Warming, LevelReason::RequestsPending);
+            (warm_start.level, warm_start.reason) = (KnowledgeLevel::Warming, LevelReason::RequestsPending);
         }
-        w
+        warm_start
     }
 
-    /// How warm the front is, and why.
+    /// Current level of knowledge, with its reason.
     pub fn level(&self) -> (KnowledgeLevel, LevelReason) {
-        (self.level, self.why)
+        (self.level, self.reason)
     }
 
-    /// Peers whose addresses were heard of.
+    /// Adds addresses of peers.
     pub fn add_peers(&mut self, peers: &[SocketAddr]) {
-        for peer in peers.iter().filter(|p| Some(**p) != self.me) {
-            if self.peers.len() < MOST {
-                self.peers.entry(*peer).or_insert(Peer::Free(Duration::ZERO));
+        for peer in peers.iter().filter(|p| Some(**p) != self.own_address) {
+            if self.peers.len() < MAX_KNOWN_PEERS {
+                self.peers.entry(*peer).or_insert(PeerState::Available(Duration::ZERO));
             }
         }
     }
 
-    /// All peers known.
+    /// Addresses of all known peers.
     pub fn peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.peers.keys().copied()
     }
 
-    /// When [`Warmer::due`] must be called next; `None`: never again.
+    /// Time of the next necessary call of [`WarmStart::poll`]; `None` once the front is warm.
     pub fn next_poll(&self) -> Option<Duration> {
         match self.level {
             KnowledgeLevel::Warm => None,
-            KnowledgeLevel::Cold => Some(self.begun + self.set.horizon),
+            KnowledgeLevel::Cold => Some(self.started_at + self.config.horizon),
             KnowledgeLevel::Warming => {
-                let end = self.begun + self.set.deadline;
-                let asked = self.peers.values().filter(|p| **p == Peer::Asked).count();
-                let free = self.peers.values().filter_map(|p| match p {
-                    Peer::Free(from) if self.left() > 0 => Some(*from),
+                let deadline = self.started_at + self.config.deadline;
+                let pending = self.peers.values().filter(|p| **p == PeerState::Pending).count();
+                let available = self.peers.values().filter_map(|p| match p {
+                    PeerState::Available(from) if self.remaining_requests() > 0 => Some(*from),
                     _ => None,
                 });
-                let hedged = if asked >= self.wanted() {
-                    self.last_asked + self.set.hedge_delay
+                let hedge_at = if pending >= self.max_pending() {
+                    self.last_request_at + self.config.hedge_delay
                 } else {
                     Duration::ZERO
                 };
-                let next = free.map(|from| from.max(hedged).max(self.first)).min();
-                Some(next.map_or(end, |n| n.min(end)))
+                let next = available.map(|from| from.max(hedge_at).max(self.first_request_at)).min();
+                Some(next.map_or(deadline, |next| next.min(deadline)))
             }
         }
     }
 
-    /// Questions that it may still ask: where all peers are cold too, each asking all would be a storm.
-    fn left(&self) -> usize {
-        (ASKS_EACH * self.set.required_warm_answers.max(1)).saturating_sub(self.asked)
+    /// Number of requests that may still be sent. Bounded because, where all peers are cold too, each front would
+    /// otherwise send requests to all others.
+    fn remaining_requests(&self) -> usize {
+        (MAX_REQUESTS_PER_ANSWER * self.config.required_warm_answers.max(1))
+            .saturating_sub(self.request_count)
     }
 
-    fn wanted(&self) -> usize {
-        self.set.max_parallel.max(1)
+    fn max_pending(&self) -> usize {
+        self.config.max_parallel.max(1)
     }
 
-    /// Whom to ask now.
+    /// Returns the requests to send now.
     pub fn poll(&mut self, now: Duration) -> Vec<PeerRequest> {
-        let mut out = Vec::new();
-        if self.level != KnowledgeLevel::Warm && now >= self.begun + self.set.horizon {
-            (self.level, self.why) = (KnowledgeLevel::Warm, LevelReason::HorizonElapsed);
+        let mut requests = Vec::new();
+        if self.level != KnowledgeLevel::Warm && now >= self.started_at + self.config.horizon {
+            (self.level, self.reason) = (KnowledgeLevel::Warm, LevelReason::HorizonElapsed);
         }
-        if self.level != KnowledgeLevel::Warming || now < self.first {
-            return out;
+        if self.level != KnowledgeLevel::Warming || now < self.first_request_at {
+            return requests;
         }
-        if now >= self.begun + self.set.deadline {
+        if now >= self.started_at + self.config.deadline {
             self.end();
-            return out;
+            return requests;
         }
-        let asked = self.peers.values().filter(|p| **p == Peer::Asked).count();
-        let hedge = asked > 0 && now >= self.last_asked + self.set.hedge_delay;
-        let places = self.wanted().saturating_sub(asked).max(usize::from(hedge));
-        let places = places.min(self.left());
-        let mut free: Vec<SocketAddr> = self
+        let pending = self.peers.values().filter(|p| **p == PeerState::Pending).count();
+        let hedge = pending > 0 && now >= self.last_request_at + self.config.hedge_delay;
+        let slots = self.max_pending().saturating_sub(pending).max(usize::from(hedge));
+        let slots = slots.min(self.remaining_requests());
+        let mut available: Vec<SocketAddr> = self
             .peers
             .iter()
-            .filter(|(_, p)| matches!(p, Peer::Free(from) if *from <= now))
+            .filter(|(_, p)| matches!(p, PeerState::Available(from) if *from <= now))
             .map(|(a, _)| *a)
             .collect();
-        self.rng.shuffle(&mut free);
-        for peer in free.into_iter().take(places) {
-            self.peers.insert(peer, Peer::Asked);
-            self.last_asked = now;
-            self.asked += 1;
-            out.push(PeerRequest { peer, nonce: self.rng.u64(1..) });
+        self.rng.shuffle(&mut available);
+        for peer in available.into_iter().take(slots) {
+            self.peers.insert(peer, PeerState::Pending);
+            self.last_request_at = now;
+            self.request_count += 1;
+            requests.push(PeerRequest { peer, nonce: self.rng.u64(1..) });
         }
-        self.settle();
-        out
+        self.end_if_complete();
+        requests
     }
 
-    /// A peer answered, and its answer was merged. Whether more is wanted.
+    /// Handles a peer's answer after its merge.
     pub fn on_answer(&mut self, peer: SocketAddr, level: KnowledgeLevel) {
-        self.peers.insert(peer, Peer::Done);
+        self.peers.insert(peer, PeerState::Done);
         if level == KnowledgeLevel::Warm {
-            self.warm += 1;
+            self.warm_answers += 1;
         } else {
-            self.cold += 1;
+            self.cold_answers += 1;
         }
-        self.settle();
+        self.end_if_complete();
     }
 
-    /// A peer did not answer, or what it said cannot be trusted.
+    /// Handles a request that got no answer, or one that was rejected.
     pub fn on_failure(&mut self, peer: SocketAddr) {
-        self.peers.insert(peer, Peer::Done);
-        self.settle();
+        self.peers.insert(peer, PeerState::Done);
+        self.end_if_complete();
     }
 
-    /// A peer feeds as many as it can: it may be asked again after that.
-    pub fn on_busy(&mut self, now: Duration, peer: SocketAddr, after: Duration) {
-        let wait = after.mul_f64(1.0 + SPREAD * self.rng.f64());
-        self.peers.insert(peer, Peer::Free(now + wait));
+    /// Handles a peer's refusal because of too many transfers: a retry is allowed after `retry_after`.
+    pub fn on_busy(&mut self, now: Duration, peer: SocketAddr, retry_after: Duration) {
+        let wait = retry_after.mul_f64(1.0 + RETRY_JITTER * self.rng.f64());
+        self.peers.insert(peer, PeerState::Available(now + wait));
     }
 
-    /// Ends it where enough has answered, or nobody is left to ask.
-    fn settle(&mut self) {
+    /// Ends the warm start if enough warm peers have answered or no requests remain.
+    fn end_if_complete(&mut self) {
         if self.level != KnowledgeLevel::Warming {
             return;
         }
-        let nobody_out = !self.peers.values().any(|p| *p == Peer::Asked);
-        let nobody_left = self.left() == 0 || self.peers.values().all(|p| *p == Peer::Done);
-        if self.warm >= self.set.required_warm_answers.max(1) || (nobody_out && nobody_left) {
+        let none_pending = !self.peers.values().any(|p| *p == PeerState::Pending);
+        let none_remaining =
+            self.remaining_requests() == 0 || self.peers.values().all(|p| *p == PeerState::Done);
+        if self.warm_answers >= self.config.required_warm_answers.max(1) || (none_pending && none_remaining) {
             self.end();
         }
     }
 
     fn end(&mut self) {
-        (self.level, self.why) = match (self.warm, self.cold) {
-            (w, _) if w >= self.set.required_warm_answers.max(1) => {
+        (self.level, self.reason) = match (self.warm_answers, self.cold_answers) {
+            (warm, _) if warm >= self.config.required_warm_answers.max(1) => {
                 (KnowledgeLevel::Warm, LevelReason::EnoughWarmPeers)
             }
             (0, 0) => (KnowledgeLevel::Cold, LevelReason::NoAnswerInTime),
--- a/crates/knowledge/src/wire.rs
+++ b/crates/knowledge/src/wire.rs
@@ -1,4 +1,5 @@
-//! Messages between fronts: a lead of magic, format and CRC-32, then a `postcard` body. Times are ages.
+//! Messages between fronts: a header of magic bytes, format version and CRC-32, then a `postcard` body. Times are
+//! sent as ages, because clocks differ.
 
 use crate::observations::*;
 use crate::store::{MAX_HOPS, MAX_SERVERS};
@@ -7,14 +8,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The format that this program writes and reads.
+/// Format version that this program writes and reads.
 pub const FORMAT: u16 = 1;
-/// Longest message, bytes.
+/// Maximum length of an encoded message.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 const MAGIC: [u8; 4] = *b"CLKN";
-const LEAD: usize = 10;
+const HEADER_BYTES: usize = 10;
 
-/// A piece with its age at the time of sending.
+/// Observation with its age at the time of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct WireVersioned<T> {
     #[serde(rename = "fact")]
@@ -24,7 +25,7 @@
     hops: u8,
 }
 
-/// One server's pieces.
+/// Observations of one server, as sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireObservations {
     state: Option<WireVersioned<ListedState>>,
@@ -38,142 +39,149 @@
     delivered_share: Option<WireVersioned<Reading>>,
 }
 
-fn out<T: Copy>(piece: Option<Versioned<T>>, now: Duration) -> Option<WireVersioned<T>> {
-    let p = piece.filter(|p| p.provenance.hops < MAX_HOPS)?;
-    let age_ms = u32::try_from(p.provenance.age(now).as_millis()).unwrap_or(u32::MAX);
-    Some(WireVersioned { value: p.value, age_ms, origin: p.provenance.origin, hops: p.provenance.hops + 1 })
+/// Encodes an observation; `None` if it has reached [`MAX_HOPS`].
+fn encode_one<T: Copy>(slot: Option<Versioned<T>>, now: Duration) -> Option<WireVersioned<T>> {
+    let observation = slot.filter(|o| o.provenance.hops < MAX_HOPS)?;
+    let age_ms = u32::try_from(observation.provenance.age(now).as_millis()).unwrap_or(u32::MAX);
+    Some(WireVersioned {
+        value: observation.value,
+        age_ms,
+        origin: observation.provenance.origin,
+        hops: observation.provenance.hops + 1,
+    })
 }
 
-fn back<T: Copy>(piece: Option<WireVersioned<T>>, sent_at: Duration) -> Option<Versioned<T>> {
-    let p = piece?;
-    let at = sent_at.saturating_sub(Duration::from_millis(p.age_ms.into()));
+fn decode_one<T: Copy>(slot: Option<WireVersioned<T>>, sent_at: Duration) -> Option<Versioned<T>> {
+    let wire = slot?;
+    let observed_at = sent_at.saturating_sub(Duration::from_millis(wire.age_ms.into()));
     Some(Versioned {
-        value: p.value,
-        provenance: Provenance { observed_at: at, origin: p.origin, hops: p.hops },
+        value: wire.value,
+        provenance: Provenance { observed_at, origin: wire.origin, hops: wire.hops },
     })
 }
 
 impl WireObservations {
-    /// As they are sent.
-    pub(crate) fn of(f: &ServerObservations, now: Duration) -> Self {
+    pub(crate) fn encode(observations: &ServerObservations, now: Duration) -> Self {
         WireObservations {
-            state: out(f.state, now),
-            start: out(f.start, now),
-            health: out(f.health, now),
-            link_load: out(f.link_load, now),
-            uplink_load: out(f.uplink_load, now),
-            delivered_share: out(f.delivered_share, now),
+            state: encode_one(observations.state, now),
+            start: encode_one(observations.start, now),
+            health: encode_one(observations.health, now),
+            link_load: encode_one(observations.link_load, now),
+            uplink_load: encode_one(observations.uplink_load, now),
+            delivered_share: encode_one(observations.delivered_share, now),
         }
     }
 
-    /// As they are held by whoever asked at `sent_at`.
-    pub(crate) fn observations(&self, sent_at: Duration) -> ServerObservations {
+    /// Decodes the observations for a front that sent its request at `sent_at`.
+    pub(crate) fn decode(&self, sent_at: Duration) -> ServerObservations {
         ServerObservations {
-            state: back(self.state, sent_at),
-            start: back(self.start, sent_at),
-            health: back(self.health, sent_at),
-            link_load: back(self.link_load, sent_at),
-            uplink_load: back(self.uplink_load, sent_at),
-            delivered_share: back(self.delivered_share, sent_at),
+            state: decode_one(self.state, sent_at),
+            start: decode_one(self.start, sent_at),
+            health: decode_one(self.health, sent_at),
+            link_load: decode_one(self.link_load, sent_at),
+            uplink_load: decode_one(self.uplink_load, sent_at),
+            delivered_share: decode_one(self.delivered_share, sent_at),
         }
     }
 
-    /// Origin, age and hops of each piece.
+    /// Origin, age in milliseconds and hops of each observation.
     pub(crate) fn provenances(&self) -> impl Iterator<Item = (Origin, u32, u8)> + '_ {
-        fn one<T>(p: &Option<WireVersioned<T>>) -> Option<(Origin, u32, u8)> {
-            p.as_ref().map(|p| (p.origin, p.age_ms, p.hops))
+        fn provenance<T>(slot: &Option<WireVersioned<T>>) -> Option<(Origin, u32, u8)> {
+            slot.as_ref().map(|o| (o.origin, o.age_ms, o.hops))
         }
         let all = [
-            one(&self.state),
-            one(&self.start),
-            one(&self.health),
-            one(&self.link_load),
-            one(&self.uplink_load),
-            one(&self.delivered_share),
+            provenance(&self.state),
+            provenance(&self.start),
+            provenance(&self.health),
+            provenance(&self.link_load),
+            provenance(&self.uplink_load),
+            provenance(&self.delivered_share),
         ];
         all.into_iter().flatten()
     }
 
-    /// All readings.
+    /// Readings of load and of the delivered share.
     pub(crate) fn readings(&self) -> impl Iterator<Item = Reading> + '_ {
         [self.link_load, self.uplink_load, self.delivered_share].into_iter().flatten().map(|p| p.value)
     }
 }
 
-/// What one front tells another.
+/// Knowledge that one front sends to another in answer to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The fleet, as a hash of its name.
+    /// Hash of the name of the fleet.
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
-    /// What it was asked with.
+    /// Nonce of the request that is answered.
     pub nonce: u64,
-    /// Who tells.
+    /// Front process that sends the message.
     pub sender: Observer,
-    /// Number of its last change: what the next delta is asked after.
+    /// Sequence number of the sender's last change, for the request of the next delta.
     pub seq: u64,
-    /// A delta after that number; absent: the whole.
+    /// Sequence number after which servers have changed; `None` if all servers are included.
     #[serde(rename = "after")]
     pub since_seq: Option<u64>,
-    /// How warm the sender is itself.
+    /// Level of the sender's knowledge.
     pub level: KnowledgeLevel,
-    /// Peers that it knows.
+    /// Addresses of peers that the sender knows.
     pub peers: Vec<SocketAddr>,
-    /// The servers.
+    /// Observations by server id.
     pub servers: Vec<(u64, WireObservations)>,
 }
 
-/// Why bytes are no message.
+/// Reason why a message cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[allow(missing_docs)] // the messages say it
+#[allow(missing_docs)] // the error texts describe the variants
 pub enum MessageError {
-    #[error("not a message of fronts")]
+    #[error("not a knowledge message: invalid header")]
     InvalidHeader,
-    #[error("format {0}, and this program reads {FORMAT}")]
+    #[error("unsupported format {0}: this program reads format {FORMAT}")]
     UnsupportedFormat(u16),
-    #[error("its checksum does not fit: garbled or cut")]
+    #[error("checksum mismatch: message corrupt or truncated")]
     Checksum,
-    #[error("over {MAX_MESSAGE_BYTES} bytes")]
+    #[error("message over {MAX_MESSAGE_BYTES} bytes or over {MAX_SERVERS} servers")]
     TooLong,
-    #[error("its body is malformed")]
+    #[error("malformed message body")]
     Malformed,
 }
 
 impl Message {
-    /// Only what goes by versions, as if seen now: states and starts. For what was kept over a stop of
-    /// unknown length.
+    /// Returns the message with only the versioned observations (states and starts), as if observed now. For
+    /// messages persisted before a stop of unknown length, after which ages mean nothing.
     pub fn versioned_only(&self) -> Message {
-        fn fresh<T: Copy>(p: Option<WireVersioned<T>>) -> Option<WireVersioned<T>> {
-            // Its observer may be the very front that reads it back: then it is hearsay of its past.
-            p.map(|p| WireVersioned {
+        fn observed_now<T: Copy>(slot: Option<WireVersioned<T>>) -> Option<WireVersioned<T>> {
+            // The observer may be the reader itself before its restart. With the default origin the observation
+            // is not dropped as the reader's own.
+            slot.map(|o| WireVersioned {
                 age_ms: 0,
                 origin: Origin { observer: Observer::default(), seq: 0 },
-                ..p
+                ..o
             })
         }
-        let cold = |s: WireVersioned<ProcessStart>| WireVersioned {
-            value: ProcessStart { uptime_ms: s.value.uptime_ms.map(|_| 0), ..s.value },
-            ..s
+        // The uptime at the time of reading is unknown: a server that started recently counts as cold.
+        let just_started = |start: WireVersioned<ProcessStart>| WireVersioned {
+            value: ProcessStart { uptime_ms: start.value.uptime_ms.map(|_| 0), ..start.value },
+            ..start
         };
-        let only = |f: &WireObservations| WireObservations {
-            state: fresh(f.state),
-            start: fresh(f.start).map(cold),
+        let versioned = |o: &WireObservations| WireObservations {
+            state: observed_now(o.state),
+            start: observed_now(o.start).map(just_started),
             ..WireObservations::default()
         };
-        let servers = self.servers.iter().map(|(id, f)| (*id, only(f))).collect();
+        let servers = self.servers.iter().map(|(id, o)| (*id, versioned(o))).collect();
         Message { servers, sender: Observer::default(), peers: Vec::new(), ..self.clone() }
     }
 
-    /// As bytes.
+    /// Encodes the message.
     ///
     /// # Errors
-    /// It holds more than fits a message.
+    /// The message is too long.
     pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
         let body = postcard::to_stdvec(self).map_err(|_| MessageError::Malformed)?;
-        if body.len() + LEAD > MAX_MESSAGE_BYTES {
+        if body.len() + HEADER_BYTES > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong);
         }
-        let mut out = Vec::with_capacity(LEAD + body.len());
+        let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
         out.extend_from_slice(&MAGIC);
         out.extend_from_slice(&FORMAT.to_le_bytes());
         out.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -181,15 +189,16 @@
         Ok(out)
     }
 
-    /// From bytes.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// They are no message, of another format, garbled or cut.
+    /// The bytes are not a message, have another format, or are corrupt, truncated or too long.
     pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong);
         }
-        let (Some((magic, rest)), true) = (bytes.split_first_chunk::<4>(), bytes.len() >= LEAD) else {
+        let (Some((magic, rest)), true) = (bytes.split_first_chunk::<4>(), bytes.len() >= HEADER_BYTES)
+        else {
             return Err(MessageError::InvalidHeader);
         };
         if *magic != MAGIC {
--- a/crates/knowledge/tests/lattice.rs
+++ b/crates/knowledge/tests/lattice.rs
@@ -1,5 +1,5 @@
-//! The lattice: joining is associative, commutative and idempotent, over random pieces of a fixed seed; and
-//! books that exchange messages in any order come to know the same.
+//! Properties of the lattice, over random observations of a fixed seed: the join is associative, commutative and
+//! idempotent, and stores that merge the same messages in any order converge.
 
 use cloverhollow_knowledge::observations::*;
 use cloverhollow_knowledge::{KnowledgeLevel, KnowledgeStore};
@@ -13,7 +13,7 @@
 }
 
 fn provenance() -> impl Strategy<Value = Provenance> {
-    // Few values, so that ties are common.
+    // Few distinct values, so that ties are common.
     (0u64..4, 0u64..3, 0u64..4, 0u8..3).prop_map(|(at, instance, seq, hops)| Provenance {
         observed_at: Duration::from_secs(100 + at),
         origin: Origin { observer: Observer { instance, incarnation: 1 }, seq },
@@ -25,21 +25,23 @@
     prop_oneof![Just(ServerStatus::Serving), Just(ServerStatus::Draining), Just(ServerStatus::Removed)]
 }
 
-fn piece<T: std::fmt::Debug>(value: impl Strategy<Value = T>) -> impl Strategy<Value = Option<Versioned<T>>> {
+fn versioned<T: std::fmt::Debug>(
+    value: impl Strategy<Value = T>,
+) -> impl Strategy<Value = Option<Versioned<T>>> {
     proptest::option::of(
         (value, provenance()).prop_map(|(value, provenance)| Versioned { value, provenance }),
     )
 }
 
 fn observations() -> impl Strategy<Value = ServerObservations> {
-    let reading = || piece((0u32..4).prop_map(Reading));
+    let reading = || versioned((0u32..4).prop_map(Reading));
     (
-        piece((0u64..3, status()).prop_map(|(version, status)| ListedState { version, status })),
-        piece(
+        versioned((0u64..3, status()).prop_map(|(version, status)| ListedState { version, status })),
+        versioned(
             (0u64..3, proptest::option::of(0u32..3000))
                 .prop_map(|(incarnation, uptime_ms)| ProcessStart { incarnation, uptime_ms }),
         ),
-        piece((0u64..3, 0u32..3, any::<bool>()).prop_map(
+        versioned((0u64..3, 0u32..3, any::<bool>()).prop_map(
             |(incarnation, consecutive_failures, may_have_restarted)| Health {
                 incarnation,
                 consecutive_failures,
@@ -67,33 +69,33 @@
 }
 
 #[test]
-fn joining_is_associative_commutative_and_idempotent() {
+fn join_is_associative_commutative_and_idempotent() {
     runner(20_000)
         .run(&(observations(), observations(), observations()), |(a, b, c)| {
             prop_assert_eq!(joined(joined(a, b), c), joined(a, joined(b, c)));
             prop_assert_eq!(joined(a, b), joined(b, a));
             prop_assert_eq!(joined(a, a), a);
             let mut twice = joined(a, b);
-            prop_assert!(!twice.join(&b), "a piece that is in changes nothing");
+            prop_assert!(!twice.join(&b), "joining an observation again changes nothing");
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn a_newer_version_or_incarnation_goes_before_any_age() {
+fn newer_version_or_incarnation_wins_regardless_of_age() {
     runner(5_000)
         .run(&(observations(), observations()), |(a, b)| {
-            let j = joined(a, b);
-            for f in [a, b] {
-                if let (Some(one), Some(all)) = (f.state, j.state) {
-                    prop_assert!(all.value >= one.value, "a drain is never taken back by an older word");
+            let both = joined(a, b);
+            for observations in [a, b] {
+                if let (Some(input), Some(result)) = (observations.state, both.state) {
+                    prop_assert!(result.value >= input.value, "an older state never overrides a drain");
                 }
-                if let (Some(one), Some(all)) = (f.start, j.start) {
-                    prop_assert!(all.value.incarnation >= one.value.incarnation);
+                if let (Some(input), Some(result)) = (observations.start, both.start) {
+                    prop_assert!(result.value.incarnation >= input.value.incarnation);
                 }
-                if let (Some(one), Some(all)) = (f.link_load, j.link_load) {
-                    prop_assert!(all.provenance.observed_at >= one.provenance.observed_at);
+                if let (Some(input), Some(result)) = (observations.link_load, both.link_load) {
+                    prop_assert!(result.provenance.observed_at >= input.provenance.observed_at);
                 }
             }
             Ok(())
@@ -102,40 +104,40 @@
 }
 
 #[test]
-fn books_that_exchange_in_any_order_come_to_know_the_same() {
+fn stores_converge_in_any_order_of_messages() {
     let now = Duration::from_secs(200);
     let order = Just(vec![0usize, 1, 2, 3, 4, 5]).prop_shuffle();
     let loads = proptest::collection::vec((0u64..4, 0u64..3, 0u64..100), 6..7);
     runner(300)
         .run(&(loads, order), |(loads, order)| {
-            // Three speakers, one observation each twice; a listener hears six messages in some order.
-            let mut speakers: Vec<KnowledgeStore> = (1..=3).map(book).collect();
+            // Three senders make two observations each; a receiver merges the six messages in some order.
+            let mut senders: Vec<KnowledgeStore> = (1..=3).map(store).collect();
             let mut messages = Vec::new();
             for (i, (server, _, load)) in loads.iter().enumerate() {
                 let at = Duration::from_secs(180 + i as u64);
-                speakers[i % 3].record_load(at, *server, Some(*load as f64 / 100.0), None, None);
-                messages.push(speakers[i % 3].view().message(now, 5, None, KnowledgeLevel::Warm, Vec::new()));
+                senders[i % 3].record_load(at, *server, Some(*load as f64 / 100.0), None, None);
+                messages.push(senders[i % 3].view().message(now, 5, None, KnowledgeLevel::Warm, Vec::new()));
             }
-            let hear = |order: &[usize]| {
-                let mut listener = book(9);
+            let merge_in_order = |order: &[usize]| {
+                let mut receiver = store(9);
                 for i in order {
-                    let _ = listener.merge(now, now, 5, &messages[*i]);
+                    let _ = receiver.merge(now, now, 5, &messages[*i]);
                 }
                 (0..4)
                     .map(|s| {
-                        listener
+                        receiver
                             .peer_observations(now, s)
                             .link_load
                             .map(|p| (p.value, p.provenance.observed_at))
                     })
                     .collect::<Vec<_>>()
             };
-            prop_assert_eq!(hear(&order), hear(&[0, 1, 2, 3, 4, 5]));
+            prop_assert_eq!(merge_in_order(&order), merge_in_order(&[0, 1, 2, 3, 4, 5]));
             Ok(())
         })
         .unwrap();
 }
 
-fn book(instance: u64) -> KnowledgeStore {
+fn store(instance: u64) -> KnowledgeStore {
     KnowledgeStore::new(Observer { instance, incarnation: 1 }, 42, Duration::from_secs(30))
 }
