--- a/crates/moves/src/pending_releases.rs
+++ b/crates/moves/src/pending_releases.rs
@@ -1,9 +1,10 @@
-//! Words that a party is owed until it confirms them, or is known to be gone.
+//! Releases that were sent and not confirmed yet.
 
 use crate::types::Epoch;
 use std::collections::BTreeMap;
 
-/// By party, the highest step that it is to let go of. Bounded by the parties that were asked and have not answered.
+/// Unconfirmed releases: for each party, the highest epoch up to which it must release the session. Bounded by the
+/// number of parties that were sent a request and have not confirmed its release.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PendingReleases<P: Ord>(BTreeMap<P, Epoch>);
 
@@ -14,35 +15,35 @@
 }
 
 impl<P: Ord + Copy> PendingReleases<P> {
-    /// From here on the party owes the word that it holds nothing up to this step.
+    /// Adds a release up to `epoch`, or raises the epoch of the party's pending one.
     pub fn add(&mut self, to: P, epoch: Epoch) {
-        let owed = self.0.entry(to).or_insert(epoch);
-        *owed = (*owed).max(epoch);
+        let pending = self.0.entry(to).or_insert(epoch);
+        *pending = (*pending).max(epoch);
     }
 
-    /// It said so. An earlier step than the one owed confirms nothing.
+    /// Handles a confirmation. One for an earlier epoch than the pending one confirms nothing.
     pub fn confirm(&mut self, from: P, epoch: Epoch) {
-        if self.0.get(&from).is_some_and(|owed| *owed <= epoch) {
+        if self.0.get(&from).is_some_and(|pending| *pending <= epoch) {
             self.0.remove(&from);
         }
     }
 
-    /// It is gone: it holds nothing.
+    /// Removes the release of a party that is dead and therefore holds nothing.
     pub fn remove(&mut self, party: P) {
         self.0.remove(&party);
     }
 
-    /// Whether nothing is owed.
+    /// Returns whether no release is pending.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many parties owe a word.
+    /// Number of parties with a pending release.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Who owes, up to which step.
+    /// Parties with a pending release, each with its epoch.
     pub fn iter(&self) -> impl Iterator<Item = (P, Epoch)> + '_ {
         self.0.iter().map(|(party, epoch)| (*party, *epoch))
     }
--- a/crates/moves/src/types.rs
+++ b/crates/moves/src/types.rs
@@ -1,21 +1,21 @@
-//! Names and messages.
+//! Identifiers and messages.
 
 use serde::{Deserialize, Serialize};
 
-/// A server, as the list names it.
+/// Id of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Server(pub u64);
+pub struct ServerId(pub u64);
 
-/// One process of a server: rises with each start.
+/// Number of a process of a server; rises with each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// A step in a session's life at servers: rises with each place that is prepared and each hand-over.
+/// Number of a step of a session's moves; rises with each prepare and each switch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u32);
 
 impl Epoch {
-    /// The one after it.
+    /// Returns the following epoch.
     pub fn next(self) -> Epoch {
         Epoch(self.0.saturating_add(1))
     }
@@ -23,71 +23,72 @@
 
 /// One process of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
-    /// Which server.
-    pub server: Server,
-    /// Which of its processes.
+pub struct ServerProcess {
+    /// Id of the server.
+    pub server: ServerId,
+    /// Incarnation of the server.
     pub incarnation: Incarnation,
 }
 
-/// What a front asks of a server for one session.
+/// Request of a front to a server for one session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Ask {
-    /// Take the session over: hold what it needs, set nothing up. `paid`: a set-up of it was paid for; its token
-    /// goes along and is never run again.
+pub enum Request {
+    /// Take the session over and hold its resources, without a set-up.
     Prepare {
-        /// The step.
+        /// Epoch of the step.
         epoch: Epoch,
-        /// Whether it was paid for.
+        /// True if the session's set-up was paid for: its token is passed along, and the set-up never runs again.
         paid: bool,
     },
-    /// Play from here from now on: comes with the next object.
+    /// Play the session from now on; sent with the request for the next object.
     Play {
-        /// The step.
+        /// Epoch of the step.
         epoch: Epoch,
     },
-    /// Let go of all up to this step.
+    /// Release everything held for the session up to this epoch.
     Release {
-        /// The step.
+        /// Epoch of the step.
         epoch: Epoch,
     },
 }
 
-/// A question on its way to one process of a server.
+/// Request addressed to one process of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Word {
-    /// For whom.
-    pub to: Place,
-    /// What.
-    pub ask: Ask,
+pub struct Message {
+    /// Addressee.
+    pub to: ServerProcess,
+    /// The request.
+    #[serde(rename = "ask")]
+    pub request: Request,
 }
 
-/// A server's answer.
+/// Answer of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Answer {
-    /// It holds the session, prepared or playing.
+    /// The server holds the session, prepared or playing.
     Prepared {
-        /// Of which step.
+        /// Epoch of the request.
         epoch: Epoch,
     },
-    /// It cannot: no room, or it cannot take a paid set-up over.
+    /// The server has no room, or cannot take over a session whose set-up was paid for.
     Refused {
-        /// Of which step.
+        /// Epoch of the request.
         epoch: Epoch,
     },
-    /// It plays.
-    Plays {
-        /// Of which step.
+    /// The server plays the session.
+    #[serde(rename = "Plays")]
+    Playing {
+        /// Epoch of the request.
         epoch: Epoch,
     },
-    /// It does not hold the session, or a later step of it.
+    /// The server does not hold the session, or holds it for a later epoch.
     Unknown {
-        /// Of which step.
+        /// Epoch of the request.
         epoch: Epoch,
     },
-    /// It holds nothing up to that step.
+    /// The server holds nothing up to this epoch.
     Released {
-        /// Which.
+        /// Epoch of the request.
         epoch: Epoch,
     },
 }
--- a/crates/moves/tests/model.rs
+++ b/crates/moves/tests/model.rs
@@ -1,7 +1,7 @@
-//! All interleavings of one session's moves: messages lost, doubled, late and out of order, servers that die and come
-//! back, late words that they died, time-outs at any time, and a viewer that leaves.
+//! Model check of all interleavings of one session's moves: messages lost, duplicated, delayed and reordered, server
+//! processes that die and restart, late notices of their deaths, timeouts at any time, and a viewer that disconnects.
 //!
-//! The network is a set that only grows: what was sent may arrive at any later time, any number of times, or never.
+//! The network is a set that only grows: a message may be delivered at any later time, any number of times, or never.
 
 use cloverhollow_moves::*;
 use stateright::{Checker, Model, Property};
@@ -11,78 +11,79 @@
 struct Process {
     incarnation: Incarnation,
     up: bool,
-    holder: Holder,
+    participant: MoveParticipant,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    mover: Mover,
+    coordinator: MoveCoordinator,
     servers: Vec<Process>,
-    words: BTreeSet<Word>,
-    answers: BTreeSet<(Place, Answer)>,
-    dead: BTreeSet<Place>,
-    moves: u8,
-    kills: u8,
+    requests: BTreeSet<Message>,
+    answers: BTreeSet<(ServerProcess, Answer)>,
+    dead_processes: BTreeSet<ServerProcess>,
+    move_count: u8,
+    death_count: u8,
     moved: bool,
     lost: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Happens {
+enum Event {
     Move(u64),
-    Boundary,
-    Arrives(Word, bool),
-    Answered(Place, Answer),
-    TimedOut(Epoch),
-    Dies(usize),
-    Starts(usize),
-    Heard(Place),
-    Gone,
-    SayAgain,
+    ObjectBoundary,
+    /// Delivery of a request; true if the server accepts a prepare.
+    RequestDelivered(Message, bool),
+    AnswerDelivered(ServerProcess, Answer),
+    AnswerTimedOut(Epoch),
+    ProcessDies(usize),
+    ProcessStarts(usize),
+    DeathReported(ServerProcess),
+    SessionEnds,
+    ReleasesRetried,
 }
 
-/// What may happen at most so often.
-struct World {
+/// Model with bounds on the number of servers, moves and deaths.
+struct MoveModel {
     servers: u64,
-    moves: u8,
-    kills: u8,
+    max_moves: u8,
+    max_deaths: u8,
 }
 
-const HOME: Place = Place { server: Server(0), incarnation: Incarnation(1) };
+const INITIAL_PROCESS: ServerProcess = ServerProcess { server: ServerId(0), incarnation: Incarnation(1) };
 
 impl State {
-    fn place(&self, i: usize) -> Place {
-        Place { server: Server(i as u64), incarnation: self.servers[i].incarnation }
+    fn process(&self, i: usize) -> ServerProcess {
+        ServerProcess { server: ServerId(i as u64), incarnation: self.servers[i].incarnation }
     }
 
-    fn feed(&mut self, input: Input) {
-        for out in self.mover.step(input) {
+    fn input(&mut self, input: Input) {
+        for out in self.coordinator.handle(input) {
             match out {
-                Output::Ask(word) => {
-                    self.words.insert(word);
+                Output::Send(message) => {
+                    self.requests.insert(message);
                 }
                 Output::Moved { .. } => self.moved = true,
-                Output::Lost => self.lost = true,
-                Output::Stayed { .. } => {}
+                Output::SessionLost => self.lost = true,
+                Output::MoveFailed { .. } => {}
             }
         }
     }
 
-    /// A word arrives at the process that it is for; at another one of that server it does nothing.
-    fn arrives(&mut self, word: Word, takes: bool) {
-        let Some(process) = self.servers.get_mut(word.to.server.0 as usize) else { return };
-        if process.up && process.incarnation == word.to.incarnation {
-            self.answers.insert((word.to, process.holder.answer(word.ask, takes)));
+    /// Delivers a request to its addressee; it has no effect if that process is down or has been replaced.
+    fn deliver(&mut self, message: Message, can_accept: bool) {
+        let Some(process) = self.servers.get_mut(message.to.server.0 as usize) else { return };
+        if process.up && process.incarnation == message.to.incarnation {
+            self.answers.insert((message.to, process.participant.handle(message.request, can_accept)));
         }
     }
 
-    fn live(&self) -> impl Iterator<Item = (Place, &Holder)> {
+    fn live_participants(&self) -> impl Iterator<Item = (ServerProcess, &MoveParticipant)> {
         let up = self.servers.iter().enumerate().filter(|(_, p)| p.up);
-        up.map(|(i, p)| (self.place(i), &p.holder))
+        up.map(|(i, p)| (self.process(i), &p.participant))
     }
 
-    fn step_of(&self) -> Option<Epoch> {
-        match self.mover.stage() {
+    fn pending_epoch(&self) -> Option<Epoch> {
+        match self.coordinator.stage() {
             Stage::Preparing { epoch, .. }
             | Stage::Switching { epoch, .. }
             | Stage::Returning { epoch, .. } => Some(epoch),
@@ -90,190 +91,214 @@
         }
     }
 
-    /// What is owed is said again, and all that was ever sent arrives once more.
-    fn all_arrives(&mut self) {
-        self.feed(Input::SayAgain);
-        for word in self.words.clone() {
-            self.arrives(word, true);
+    /// Sends pending releases again, and delivers every message ever sent once more.
+    fn deliver_all(&mut self) {
+        self.input(Input::RetryReleases);
+        for message in self.requests.clone() {
+            self.deliver(message, true);
         }
         for (from, answer) in self.answers.clone() {
-            self.feed(Input::Answered { from, answer });
+            self.input(Input::AnswerReceived { from, answer });
         }
     }
 
-    /// The network mends and nothing new happens: every death is heard, what is owed is said again and arrives,
-    /// what is not answered times out.
+    /// State after the network has recovered and nothing new happens: every death is reported, pending releases are
+    /// sent again and delivered, and unanswered requests time out.
     fn settle(mut self) -> State {
-        for place in self.dead.clone() {
-            self.feed(Input::Died { place });
+        for process in self.dead_processes.clone() {
+            self.input(Input::ProcessDied { process });
         }
         for _ in 0..12 {
-            self.all_arrives();
-            self.feed(Input::Boundary);
+            self.deliver_all();
+            self.input(Input::ObjectBoundary);
         }
-        if let Some(epoch) = self.step_of() {
-            self.feed(Input::TimedOut { epoch });
+        if let Some(epoch) = self.pending_epoch() {
+            self.input(Input::AnswerTimedOut { epoch });
         }
         for _ in 0..4 {
-            self.all_arrives();
+            self.deliver_all();
         }
         self
     }
 }
 
-impl Model for World {
+impl Model for MoveModel {
     type State = State;
-    type Action = Happens;
+    type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
         let process = |i: u64| Process {
             incarnation: Incarnation(1),
             up: true,
-            holder: if i == 0 { Holder::set_up(Epoch(0)) } else { Holder::default() },
+            participant: if i == 0 {
+                MoveParticipant::with_session(Epoch(0))
+            } else {
+                MoveParticipant::default()
+            },
         };
         vec![State {
-            mover: Mover::new(HOME, Epoch(0), true),
+            coordinator: MoveCoordinator::new(INITIAL_PROCESS, Epoch(0), true),
             servers: (0..self.servers).map(process).collect(),
-            words: BTreeSet::new(),
+            requests: BTreeSet::new(),
             answers: BTreeSet::new(),
-            dead: BTreeSet::new(),
-            moves: 0,
-            kills: 0,
+            dead_processes: BTreeSet::new(),
+            move_count: 0,
+            death_count: 0,
             moved: false,
             lost: false,
         }]
     }
 
-    fn actions(&self, s: &State, all: &mut Vec<Happens>) {
-        if s.moves < self.moves {
-            all.extend((0..self.servers).map(Happens::Move));
+    fn actions(&self, state: &State, events: &mut Vec<Event>) {
+        if state.move_count < self.max_moves {
+            events.extend((0..self.servers).map(Event::Move));
         }
-        all.extend([Happens::Boundary, Happens::Gone, Happens::SayAgain]);
-        for word in &s.words {
-            all.push(Happens::Arrives(*word, true));
-            if matches!(word.ask, Ask::Prepare { .. }) {
-                all.push(Happens::Arrives(*word, false));
+        events.extend([Event::ObjectBoundary, Event::SessionEnds, Event::ReleasesRetried]);
+        for message in &state.requests {
+            events.push(Event::RequestDelivered(*message, true));
+            if matches!(message.request, Request::Prepare { .. }) {
+                events.push(Event::RequestDelivered(*message, false));
             }
         }
-        all.extend(s.answers.iter().map(|(from, answer)| Happens::Answered(*from, *answer)));
-        all.extend(s.step_of().map(Happens::TimedOut));
-        for (i, p) in s.servers.iter().enumerate() {
-            if p.up && s.kills < self.kills {
-                all.push(Happens::Dies(i));
+        events.extend(state.answers.iter().map(|(from, answer)| Event::AnswerDelivered(*from, *answer)));
+        events.extend(state.pending_epoch().map(Event::AnswerTimedOut));
+        for (i, process) in state.servers.iter().enumerate() {
+            if process.up && state.death_count < self.max_deaths {
+                events.push(Event::ProcessDies(i));
             }
-            if !p.up {
-                all.push(Happens::Starts(i));
+            if !process.up {
+                events.push(Event::ProcessStarts(i));
             }
         }
-        all.extend(s.dead.iter().map(|p| Happens::Heard(*p)));
+        events.extend(state.dead_processes.iter().map(|p| Event::DeathReported(*p)));
     }
 
-    fn next_state(&self, before: &State, action: Happens) -> Option<State> {
-        let mut s = before.clone();
-        match action {
-            Happens::Move(server) => {
-                s.moves += 1;
-                let to = s.place(server as usize);
-                s.feed(Input::Move { to });
+    fn next_state(&self, before: &State, event: Event) -> Option<State> {
+        let mut state = before.clone();
+        match event {
+            Event::Move(server) => {
+                state.move_count += 1;
+                let target = state.process(server as usize);
+                state.input(Input::Move { target });
             }
-            Happens::Boundary => s.feed(Input::Boundary),
-            Happens::Arrives(word, takes) => s.arrives(word, takes),
-            Happens::Answered(from, answer) => s.feed(Input::Answered { from, answer }),
-            Happens::TimedOut(epoch) => s.feed(Input::TimedOut { epoch }),
-            Happens::Dies(i) => {
-                s.kills += 1;
-                let place = s.place(i);
-                s.dead.insert(place);
-                (s.servers[i].up, s.servers[i].holder) = (false, Holder::default());
+            Event::ObjectBoundary => state.input(Input::ObjectBoundary),
+            Event::RequestDelivered(message, can_accept) => state.deliver(message, can_accept),
+            Event::AnswerDelivered(from, answer) => state.input(Input::AnswerReceived { from, answer }),
+            Event::AnswerTimedOut(epoch) => state.input(Input::AnswerTimedOut { epoch }),
+            Event::ProcessDies(i) => {
+                state.death_count += 1;
+                let process = state.process(i);
+                state.dead_processes.insert(process);
+                (state.servers[i].up, state.servers[i].participant) = (false, MoveParticipant::default());
             }
-            Happens::Starts(i) => {
-                let p = &mut s.servers[i];
-                (p.up, p.incarnation) = (true, Incarnation(p.incarnation.0 + 1));
+            Event::ProcessStarts(i) => {
+                let process = &mut state.servers[i];
+                (process.up, process.incarnation) = (true, Incarnation(process.incarnation.0 + 1));
             }
-            Happens::Heard(place) => s.feed(Input::Died { place }),
-            Happens::Gone => s.feed(Input::Gone),
-            Happens::SayAgain => s.feed(Input::SayAgain),
+            Event::DeathReported(process) => state.input(Input::ProcessDied { process }),
+            Event::SessionEnds => state.input(Input::SessionEnded),
+            Event::ReleasesRetried => state.input(Input::RetryReleases),
         }
-        (s != *before).then_some(s)
+        (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("whoever holds it is known to the front", |_, s: &State| {
-                let known: Vec<Place> = match s.mover.stage() {
-                    Stage::Settled { at } => vec![at],
-                    Stage::Preparing { from, to, .. } | Stage::Switching { from, to, .. } => {
-                        from.into_iter().chain([to]).collect()
+            Property::always("every holder of the session is known to the front", |_, state: &State| {
+                let known: Vec<ServerProcess> = match state.coordinator.stage() {
+                    Stage::Settled { process } => vec![process],
+                    Stage::Preparing { source, target, .. } | Stage::Switching { source, target, .. } => {
+                        source.into_iter().chain([target]).collect()
                     }
-                    Stage::Ready { from, to, .. } => vec![from, to],
-                    Stage::Returning { to, .. } => vec![to],
-                    Stage::Over => vec![],
+                    Stage::Ready { source, target, .. } => vec![source, target],
+                    Stage::Returning { source, .. } => vec![source],
+                    Stage::Ended => vec![],
                 };
-                s.live().all(|(p, holder)| !holder.holds() || known.contains(&p) || s.mover.owes(p.server))
+                state.live_participants().all(|(process, participant)| {
+                    !participant.holds_session()
+                        || known.contains(&process)
+                        || state.coordinator.has_pending_release(process.server)
+                })
             }),
             Property::always(
-                "where it is settled it is held, unless that process is gone",
-                |_, s: &State| {
-                    let Stage::Settled { at } = s.mover.stage() else { return true };
-                    s.live().all(|(p, holder)| p != at || holder.plays())
+                "a settled session is played by its process while that is alive",
+                |_, state: &State| {
+                    let Stage::Settled { process: settled } = state.coordinator.stage() else { return true };
+                    state
+                        .live_participants()
+                        .all(|(process, participant)| process != settled || participant.is_playing())
                 },
             ),
-            Property::always("one server is asked to play at a time", |_, s: &State| {
-                let play = |w: &Word| match w.ask {
-                    Ask::Play { epoch } => Some((epoch, w.to)),
+            Property::always("one server is requested to play at a time", |_, state: &State| {
+                let play = |message: &Message| match message.request {
+                    Request::Play { epoch } => Some((epoch, message.to)),
                     _ => None,
                 };
-                let last = s.words.iter().filter_map(play).max();
-                let one = |(epoch, to)| s.words.iter().filter_map(play).all(|(e, p)| e != epoch || p == to);
-                // Once it was handed over, the last that was asked to play is where the next object is asked.
-                let now = |(_, to)| s.mover.playing().is_none_or(|at| at == to);
-                last.is_none_or(|l| one(l) && now(l))
+                let last = state.requests.iter().filter_map(play).max();
+                let unique = |(epoch, to)| {
+                    state.requests.iter().filter_map(play).all(|(e, process)| e != epoch || process == to)
+                };
+                // After a switch, the next object is requested from the process that was last requested to play.
+                let current =
+                    |(_, to)| state.coordinator.playing_process().is_none_or(|process| process == to);
+                last.is_none_or(|last| unique(last) && current(last))
             }),
             Property::always(
-                "once all is heard one server holds it, or none when it is over",
-                |_, s: &State| {
-                    let end = s.clone().settle();
-                    let holders: Vec<_> = end.live().filter(|(_, h)| h.holds()).map(|(p, _)| p).collect();
-                    let right = match end.mover.stage() {
-                        Stage::Settled { at } => holders == [at],
-                        Stage::Over => holders.is_empty(),
+                "after all messages are delivered one server holds the session, or none if it has ended",
+                |_, state: &State| {
+                    let end = state.clone().settle();
+                    let holders: Vec<_> = end
+                        .live_participants()
+                        .filter(|(_, participant)| participant.holds_session())
+                        .map(|(process, _)| process)
+                        .collect();
+                    let correct = match end.coordinator.stage() {
+                        Stage::Settled { process } => holders == [process],
+                        Stage::Ended => holders.is_empty(),
                         _ => false,
                     };
-                    right && end.mover.is_clear()
+                    correct && end.coordinator.is_fully_released()
                 },
             ),
-            Property::always("it is lost only where a process died or a move was tried", |_, s: &State| {
-                !s.lost || s.kills > 0 || s.moves > 0
-            }),
-            Property::sometimes("it is moved", |_, s: &State| s.moved),
-            Property::sometimes("it returns", |_, s: &State| {
-                matches!(s.mover.stage(), Stage::Returning { .. })
-            }),
-            Property::sometimes("it outlives its source, where one dies", |world: &World, s: &State| {
-                let elsewhere = matches!(s.mover.stage(), Stage::Settled { at } if at != HOME);
-                world.kills == 0 || (s.dead.contains(&HOME) && elsewhere)
+            Property::always(
+                "the session is lost only after a death or an attempted move",
+                |_, state: &State| !state.lost || state.death_count > 0 || state.move_count > 0,
+            ),
+            Property::sometimes("the session is moved", |_, state: &State| state.moved),
+            Property::sometimes("the session returns to its source", |_, state: &State| {
+                matches!(state.coordinator.stage(), Stage::Returning { .. })
             }),
+            Property::sometimes(
+                "the session survives the death of its source",
+                |model: &MoveModel, state: &State| {
+                    let elsewhere = matches!(
+                        state.coordinator.stage(),
+                        Stage::Settled { process } if process != INITIAL_PROCESS
+                    );
+                    model.max_deaths == 0 || (state.dead_processes.contains(&INITIAL_PROCESS) && elsewhere)
+                },
+            ),
         ]
     }
 }
 
-fn check(world: World) {
-    let checker = world.checker().threads(2).spawn_bfs().join();
+fn check(model: MoveModel) {
+    let checker = model.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn one_move_among_three_servers_and_two_deaths() {
-    check(World { servers: 3, moves: 1, kills: 2 });
+fn one_move_among_three_servers_with_two_deaths() {
+    check(MoveModel { servers: 3, max_moves: 1, max_deaths: 2 });
 }
 
 #[test]
-fn two_moves_between_two_servers_and_a_death() {
-    check(World { servers: 2, moves: 2, kills: 1 });
+fn two_moves_between_two_servers_with_one_death() {
+    check(MoveModel { servers: 2, max_moves: 2, max_deaths: 1 });
 }
 
 #[test]
-fn two_moves_among_three_servers_without_a_death() {
-    check(World { servers: 3, moves: 2, kills: 0 });
+fn two_moves_among_three_servers_without_deaths() {
+    check(MoveModel { servers: 3, max_moves: 2, max_deaths: 0 });
 }
