--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -10,17 +10,18 @@
 //! - [`KnowledgeTransfers`]: limit on concurrent transfers to peers, and messages retained for resumption.
 
 mod level;
+mod merge;
 pub mod observations;
+mod provenance;
 mod store;
 mod transfers;
-mod validation;
 mod view;
 mod warm_start;
 pub mod wire;
 
 pub use level::{KnowledgeLevel, LevelReason};
-pub use store::{KnowledgeStore, MergeOutcome, ServerUpdate, MAX_HOPS, MAX_PEERS, MAX_SERVERS};
+pub use merge::{MergeError, MergeOutcome, ServerUpdate};
+pub use store::{KnowledgeStore, MAX_HOPS, MAX_PEERS, MAX_SERVERS};
 pub use transfers::{KnowledgeTransfers, RetainedMessage, TransferRefused};
-pub use validation::MergeError;
 pub use view::KnowledgeView;
 pub use warm_start::{PeerRequest, WarmStart, WarmStartConfig};
--- a/crates/knowledge/src/validation.rs
+++ b/crates/knowledge/src/merge.rs
@@ -1,9 +1,10 @@
-//! Validation of peers' messages before they are merged.
+//! Merges of peers' messages: validation, and the results.
 
 use crate::observations::*;
 use crate::store::{MAX_HOPS, MAX_PEERS, MAX_SERVERS};
 use crate::wire::Message;
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
 /// Maximum age of an observation in a message: one day. A greater age indicates a fault of the sender.
 const MAX_AGE_MS: u32 = 86_400_000;
@@ -28,6 +29,24 @@
     OutOfRange,
 }
 
+/// Result of a merge for one server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ServerUpdate {
+    /// Id of the server.
+    pub server: u64,
+    /// Received observations that are better than this front's own.
+    pub observations: ServerObservations,
+}
+
+/// Result of a merge.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct MergeOutcome {
+    /// Servers with new observations.
+    pub updates: Vec<ServerUpdate>,
+    /// Addresses of peers that the sender knows.
+    pub peers: Vec<SocketAddr>,
+}
+
 /// Checks the ranges of ages, hops and readings, and that each observer's later observations have the smaller ages.
 /// The age check detects the simplest forgery: an old observation that is given a small age.
 pub(crate) fn validate(message: &Message) -> Result<(), MergeError> {
@@ -55,3 +74,19 @@
 /// Tolerance when comparing ages of one observer's observations, which may have arrived over routes with different
 /// delays.
 const AGE_TOLERANCE_MS: u32 = 2_000;
+
+/// Drops observations that this front made itself and receives back: they confirm nothing.
+pub(crate) fn without_own(observations: &ServerObservations, instance: u64) -> ServerObservations {
+    fn other<T: Copy>(slot: Option<Versioned<T>>, instance: u64) -> Option<Versioned<T>> {
+        slot.filter(|o| o.provenance.origin.observer.instance != instance)
+    }
+    ServerObservations {
+        // States that this front observed before a restart are in its persisted server list.
+        state: other(observations.state, instance),
+        start: observations.start,
+        health: other(observations.health, instance),
+        link_load: other(observations.link_load, instance),
+        uplink_load: other(observations.uplink_load, instance),
+        delivered_share: other(observations.delivered_share, instance),
+    }
+}
--- a/crates/knowledge/src/store.rs
+++ b/crates/knowledge/src/store.rs
@@ -1,12 +1,11 @@
 //! Store of one front's knowledge: its own observations and those received from peers.
 
+use crate::merge::{validate, without_own, MergeError, MergeOutcome, ServerUpdate};
 use crate::observations::*;
-use crate::validation::{validate, MergeError};
 use crate::view::KnowledgeView;
 use crate::wire::Message;
 use imbl::OrdMap;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Maximum number of servers in a store. Observations of further servers are ignored.
@@ -16,24 +15,6 @@
 /// Maximum number of hops between fronts; an observation that has reached it is not passed on.
 pub const MAX_HOPS: u8 = 3;
 
-/// Result of a merge for one server.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServerUpdate {
-    /// Id of the server.
-    pub server: u64,
-    /// Received observations that are better than this front's own.
-    pub observations: ServerObservations,
-}
-
-/// Result of a merge.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct MergeOutcome {
-    /// Servers with new observations.
-    pub updates: Vec<ServerUpdate>,
-    /// Addresses of peers that the sender knows.
-    pub peers: Vec<SocketAddr>,
-}
-
 /// Store of one front's knowledge.
 #[derive(Debug)]
 pub struct KnowledgeStore {
@@ -240,19 +221,3 @@
 
 /// Minimum time between two recordings of a working server's health.
 const HEALTH_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-
-/// Drops observations that this front made itself and receives back: they confirm nothing.
-fn without_own(observations: &ServerObservations, instance: u64) -> ServerObservations {
-    fn other<T: Copy>(slot: Option<Versioned<T>>, instance: u64) -> Option<Versioned<T>> {
-        slot.filter(|o| o.provenance.origin.observer.instance != instance)
-    }
-    ServerObservations {
-        // States that this front observed before a restart are in its persisted server list.
-        state: other(observations.state, instance),
-        start: observations.start,
-        health: other(observations.health, instance),
-        link_load: other(observations.link_load, instance),
-        uplink_load: other(observations.uplink_load, instance),
-        delivered_share: other(observations.delivered_share, instance),
-    }
-}
--- a/crates/moves/src/lib.rs
+++ b/crates/moves/src/lib.rs
@@ -14,11 +14,13 @@
 //! ([`MoveCoordinator::playing_process`]): there is one at a time. `tests/model.rs` checks all interleavings.
 
 mod coordinator;
+mod events;
 mod participant;
 mod pending_releases;
 mod types;
 
-pub use coordinator::{Input, MoveCoordinator, Output, Stage};
+pub use coordinator::MoveCoordinator;
+pub use events::{Input, Output, Stage};
 pub use participant::MoveParticipant;
 pub use pending_releases::PendingReleases;
 pub use types::{Answer, Epoch, Incarnation, Message, Request, ServerId, ServerProcess};
