--- a/crates/knowledge/src/provenance.rs
+++ b/crates/knowledge/src/provenance.rs
@@ -1,4 +1,4 @@
-//! Provenance of observations: who made them, when, and over how many fronts they came.
+//! Provenance of observations: observer, time, and number of hops between fronts.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
