--- a/crates/session/tests/load/harness.rs
+++ b/crates/session/tests/load/harness.rs
@@ -5,7 +5,7 @@
 use crate::common::*;
 use cloverhollow::{ListMode, SessionPolicy, SessionReport};
 use cloverhollow_knowledge::KnowledgeLevel;
-use cloverhollow_recovery::{frame, recover, Boot, Bounds, Deed, Found, Recovered, Stamp};
+use cloverhollow_recovery::*;
 use cloverhollow_session::*;
 use cloverhollow_settings::FrontSettings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,15 +58,16 @@
 }
 
 /// History of an incarnation that logged a drain and set a paid session up.
-fn earlier_incarnation() -> Recovered {
-    let stamp = |ms: u64| Stamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
-    let paid = Deed::Out { sid: "s1".into(), server: 2, paid: true, further: false };
+fn earlier_incarnation() -> RecoveredState {
+    let stamp = |ms: u64| Timestamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
+    let paid = LogRecord::AttemptStarted { sid: "s1".into(), server: 2, paid: true, is_retry: false };
     let mut bytes = frame::MAGIC.to_vec();
-    for record in [Deed::Began { boot: Boot(1) }, paid, Deed::Listed { server: DRAINED, serves: false }] {
+    let drained = LogRecord::ServerListed { server: DRAINED, accepts_sessions: false };
+    for record in [LogRecord::IncarnationStarted { boot: BootId(1) }, paid, drained] {
         frame::encode(stamp(1), &record, &mut bytes).unwrap();
     }
-    let found = Found { bytes: Some(&bytes), changed_ms: stamp(1).wall_ms, ran_before: true };
-    recover(found, Boot(1), stamp(50), &Bounds::default()).1
+    let found = FoundLog { bytes: Some(&bytes), changed_unix_ms: stamp(1).wall_ms, ran_before: true };
+    recover(found, BootId(1), stamp(50), &LedgerLimits::default()).1
 }
 
 impl Harness {
--- a/crates/session/tests/restart_history.rs
+++ b/crates/session/tests/restart_history.rs
@@ -4,26 +4,27 @@
 
 use cloverhollow::{ListMode, SessionPolicy};
 use cloverhollow_recovery::{
-    digest, frame, recover, Boot, Bounds, Deed, Found, Recovered, Stamp, Trust, Why,
+    frame, recover, session_digest, BootId, DistrustReason, FoundLog, LedgerLimits, LogRecord,
+    RecoveredState, Timestamp, Trust,
 };
 use cloverhollow_session::*;
 use common::*;
 use std::time::Duration;
 
 /// Recovers the log of a killed process, `down_ms` after its last record.
-fn recover_after(records: &[Deed], down_ms: u64) -> Recovered {
-    let stamp = |ms: u64| Stamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
+fn recover_after(records: &[LogRecord], down_ms: u64) -> RecoveredState {
+    let stamp = |ms: u64| Timestamp { boot_ms: ms, wall_ms: 1_000_000 + ms };
     let mut bytes = frame::MAGIC.to_vec();
-    frame::encode(stamp(0), &Deed::Began { boot: Boot(1) }, &mut bytes).unwrap();
+    frame::encode(stamp(0), &LogRecord::IncarnationStarted { boot: BootId(1) }, &mut bytes).unwrap();
     records.iter().for_each(|r| frame::encode(stamp(1), r, &mut bytes).unwrap());
-    let found = Found { bytes: Some(&bytes), changed_ms: stamp(1).wall_ms, ran_before: true };
-    recover(found, Boot(1), stamp(1 + down_ms), &Bounds::default()).1
+    let found = FoundLog { bytes: Some(&bytes), changed_unix_ms: stamp(1).wall_ms, ran_before: true };
+    recover(found, BootId(1), stamp(1 + down_ms), &LedgerLimits::default()).1
 }
 
 /// Recovers without a log, though the front ran before.
-fn recover_without_log() -> Recovered {
-    let found = Found { bytes: None, changed_ms: 0, ran_before: true };
-    recover(found, Boot(1), Stamp::default(), &Bounds::default()).1
+fn recover_without_log() -> RecoveredState {
+    let found = FoundLog { bytes: None, changed_unix_ms: 0, ran_before: true };
+    recover(found, BootId(1), Timestamp::default(), &LedgerLimits::default()).1
 }
 
 fn core_with_retry_budget(seed: u64) -> TestCore {
@@ -41,11 +42,17 @@
     core.step(START, [serving_list(2)]);
     let setup = sent_setup(&core.step(START, [arrived(1, "one", "paid")]));
     let server = setup.server;
-    assert_eq!(setup.log_record, Some(Deed::Out { sid: "one".into(), server, paid: true, further: false }));
+    assert_eq!(
+        setup.log_record,
+        Some(LogRecord::AttemptStarted { sid: "one".into(), server, paid: true, is_retry: false })
+    );
     let commands = core.step(START + ms(5), [attempt_ended(setup.attempt, AttemptEnd::NotConnected)]);
     assert_eq!(
         persisted_records(&commands),
-        [Deed::Failed { server, failed: true }, Deed::Unrun { sid: digest("one") }]
+        [
+            LogRecord::ServerFailure { server, failed: true },
+            LogRecord::AttemptNotExecuted { sid: session_digest("one") }
+        ]
     );
     // The next attempt is logged again, after that.
     assert!(sent_setup(&commands).log_record.is_some());
@@ -55,8 +62,9 @@
 
 #[test]
 fn a_paid_session_that_an_earlier_incarnation_may_have_executed_is_never_set_up_again() {
-    let out = |sid: &str| Deed::Out { sid: sid.into(), server: 1, paid: true, further: false };
-    let records = [out("ran"), out("never"), Deed::Unrun { sid: digest("never") }];
+    let out =
+        |sid: &str| LogRecord::AttemptStarted { sid: sid.into(), server: 1, paid: true, is_retry: false };
+    let records = [out("ran"), out("never"), LogRecord::AttemptNotExecuted { sid: session_digest("never") }];
     let mut core = core();
     core.step(START, [Input::Recovered(Box::new(recover_after(&records, 50))), serving_list(2)]);
     // The player requests the same session again, as at its start.
@@ -69,7 +77,7 @@
 
 #[test]
 fn sessions_of_a_dead_incarnation_are_released_once() {
-    let out = Deed::Out { sid: "left".into(), server: 2, paid: true, further: false };
+    let out = LogRecord::AttemptStarted { sid: "left".into(), server: 2, paid: true, is_retry: false };
     let mut core = core();
     let commands = core.step(START, [Input::Recovered(Box::new(recover_after(&[out], 50)))]);
     assert!(commands.is_empty(), "the server's address is not known yet");
@@ -83,14 +91,14 @@
     core.step(START, [serving_list(2)]);
     let drain = list_update(ListMode::Patch, vec![server(1, WireState::Draining)]);
     let records = persisted_records(&core.step(START + ms(1), [drain]));
-    assert_eq!(records, [Deed::Listed { server: 1, serves: false }]);
+    assert_eq!(records, [LogRecord::ServerListed { server: 1, accepts_sessions: false }]);
     let back = list_update(ListMode::Patch, vec![server(1, WireState::Serving)]);
     let resumed = persisted_records(&core.step(START + ms(2), [back]));
-    assert_eq!(resumed, [Deed::Listed { server: 1, serves: true }]);
+    assert_eq!(resumed, [LogRecord::ServerListed { server: 1, accepts_sessions: true }]);
     // The front is killed before it persists the list with the drain, so it restarts with the list from before.
     let stale =
         || list_update(ListMode::Stale, vec![server(1, WireState::Serving), server(2, WireState::Serving)]);
-    let used_servers = |records: &[Deed]| {
+    let used_servers = |records: &[LogRecord]| {
         let mut core = common::core();
         core.step(START, [Input::Recovered(Box::new(recover_after(records, 50))), stale()]);
         let requests = (1..9).map(|v| arrived(v, &format!("s{v}"), "clip"));
@@ -107,8 +115,8 @@
 
 #[test]
 fn retries_of_an_earlier_incarnation_count_and_set_ups_have_a_send_deadline() {
-    let further = Deed::Out { sid: "x".into(), server: 1, paid: false, further: true };
-    let is_retried = |recovered: Option<Recovered>| {
+    let further = LogRecord::AttemptStarted { sid: "x".into(), server: 1, paid: false, is_retry: true };
+    let is_retried = |recovered: Option<RecoveredState>| {
         let mut core = core_with_retry_budget(3);
         // After a restart any server may be cold until the list must have shown its start: a set-up is sent in its
         // time slot or not at all.
@@ -125,7 +133,7 @@
             _ => None,
         });
         if let Some((record, send_deadline)) = &second {
-            assert!(matches!(record, Some(Deed::Out { further: true, .. })));
+            assert!(matches!(record, Some(LogRecord::AttemptStarted { is_retry: true, .. })));
             assert_eq!(*send_deadline, START + ms(105));
         }
         second.is_some()
@@ -140,7 +148,7 @@
 fn after_a_restart_without_history_paid_viewers_fail_for_one_deadline() {
     let mut core = core();
     let r = recover_without_log();
-    assert_eq!(r.trust, Trust::Unproven(Why::Gone));
+    assert_eq!(r.trust, Trust::Unproven(DistrustReason::Missing));
     core.step(START, [Input::Recovered(Box::new(r)), serving_list(2)]);
     assert_eq!(summaries(&core.step(START + ms(1), [arrived(1, "one", "paid")])), ["1 failed unproven"]);
     let other = sent_setup(&core.step(START + ms(1), [arrived(2, "two", "clip")]));
@@ -179,8 +187,8 @@
     let setup = sent_setup(&core.step(START, [arrived(1, "one", "clip")]));
     let commands = core.step(START + ms(5), [attempt_ended(setup.attempt, AttemptEnd::Unanswered)]);
     let records = persisted_records(&commands);
-    assert_eq!(records, [Deed::Failed { server: 1, failed: true }]);
-    let sent_at_once = |records: &[Deed]| {
+    assert_eq!(records, [LogRecord::ServerFailure { server: 1, failed: true }]);
+    let sent_at_once = |records: &[LogRecord]| {
         let mut core = common::core();
         core.step(START, [Input::Recovered(Box::new(recover_after(records, 50))), serving_list(1)]);
         // Past the suspension after a failure and the check after a return: only the cold start still limits set-ups.
@@ -190,7 +198,7 @@
     };
     assert_eq!(sent_at_once(&[]), 8);
     assert!(sent_at_once(&records) <= 1);
-    let worked = Deed::Failed { server: 1, failed: false };
+    let worked = LogRecord::ServerFailure { server: 1, failed: false };
     assert_eq!(sent_at_once(&[records, vec![worked]].concat()), 8);
 }
 
