--- a/crates/front/src/members/page.rs
+++ b/crates/front/src/members/page.rs
@@ -28,7 +28,7 @@
                 "from_ms": part.map(|p| p.valid_from.saturating_sub(now).as_millis() as u64),
                 "for_ms": part.map(|p| p.valid_until.saturating_sub(now).as_millis() as u64),
             },
-            "witness": m.witness().map(|w| w.holders()),
+            "witness": m.witness().map(|w| w.holder_count()),
             "stepped_back": m.replaced_by().map(|w| w.address),
             "datagrams": {
                 "taken": status.received, "sent": status.sent, "sent_bytes": status.sent_bytes,
--- a/crates/members/src/identity.rs
+++ b/crates/members/src/identity.rs
@@ -1,22 +1,22 @@
-//! What one member is to the others.
+//! Identity of a member.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest name of a member or a zone, bytes: some twenty members fit into a datagram.
+/// Maximum length of a member's name or zone, in bytes. About twenty members fit into a datagram.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// One incarnation of a process; a later one of the same address is greater.
+/// Incarnation of a member; a later one of the same address compares greater.
 ///
-/// It begins with the wall clock's word, which may be wrong: lives are compared, never subtracted, and a process
-/// that is refused for its low number raises it.
+/// Starts from the wall clock, which may be wrong: incarnations are compared but never subtracted, and a process
+/// whose incarnation is refused as too low raises it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Unix time of its start, ms, raised where others hold it for gone.
+    /// Unix time of the process start in milliseconds, raised when other members declare the process down.
     pub number: u64,
-    /// Drawn at the start: tells two processes apart that started in the same millisecond.
+    /// Random number drawn at the start. Distinguishes processes that started in the same millisecond.
     pub token: u64,
 }
 
@@ -26,26 +26,26 @@
     }
 }
 
-/// A member as the fleet knows it.
+/// Identity of a member, as gossiped through the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Where its datagrams go.
+    /// Address for membership datagrams.
     pub address: SocketAddr,
-    /// Its side address, where it can be asked for all that it holds.
+    /// HTTP side address, which serves the full membership records. `None` if the member has none.
     #[serde(rename = "side")]
     pub side_address: Option<SocketAddr>,
-    /// Its name: one process bears it at a time.
+    /// Configured name; only one process may use it at a time.
     pub name: Arc<str>,
-    /// Its zone.
+    /// Zone of the member.
     #[serde(rename = "hall")]
     pub zone: Arc<str>,
-    /// Which of its lives.
+    /// Incarnation of the process.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
 }
 
 impl MemberId {
-    /// A seed of which only the address is known.
+    /// Identity of a seed, of which only the address is known.
     pub(crate) fn seed(address: SocketAddr) -> MemberId {
         MemberId {
             address,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Whether its texts are as long as they may be.
-    pub(crate) fn bounded(&self) -> bool {
+    /// Returns whether name and zone are within [`MAX_NAME_BYTES`].
+    pub(crate) fn has_valid_lengths(&self) -> bool {
         self.name.len() <= MAX_NAME_BYTES && self.zone.len() <= MAX_NAME_BYTES
     }
 }
@@ -65,7 +65,8 @@
 impl foca::Identity for MemberId {
     type Addr = SocketAddr;
 
-    /// The next incarnation is made by [`crate::Swim`], which knows how long the last one held.
+    /// Always `None`: [`crate::Swim`] chooses the next incarnation, since the increment depends on how recently the
+    /// last one was refused.
     fn renew(&self) -> Option<Self> {
         None
     }
--- a/crates/members/src/invariants.rs
+++ b/crates/members/src/invariants.rs
@@ -1,75 +1,77 @@
-//! Invariants of members, by name.
+//! Invariants of the membership state, each violation under a name of its own.
 
 use crate::identity::Incarnation;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An invariant that is broken, and by whom.
+/// A violated invariant and the values that violate it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)] // the messages say it
 pub enum InvariantViolation {
-    #[error("view: its number fell from {before} to {now}")]
-    ViewFell { before: u64, now: u64 },
-    #[error("view: {known} members, {most} may be known")]
-    Known { known: usize, most: usize },
-    #[error("view: this member, {address}, is not in it as there, in its present incarnation")]
-    NotThere { address: SocketAddr },
-    #[error("view: it holds {who} under the address {address}")]
-    Address { address: SocketAddr, who: SocketAddr },
-    #[error("view: {address} is so since {since:?}, later than now, {now:?}")]
-    Since { address: SocketAddr, since: Duration, now: Duration },
-    #[error("view: {heard} were heard, {most} may be")]
-    Heard { heard: usize, most: usize },
-    #[error("incarnation: it fell from {before} to {now}")]
-    LifeFell { before: Incarnation, now: Incarnation },
-    #[error("incarnation: it rises by nothing")]
-    NoRise,
-    #[error("names: steps back for {address}, which does not bear this one's name or is this one")]
-    StepsBack { address: SocketAddr },
-    #[error("timers: {armed} are armed, {most} may be")]
-    Timers { armed: usize, most: usize },
-    #[error("timers: the next call on seeds is at {at:?}, more than {heal:?} after {now:?}")]
-    Call { at: Duration, heal: Duration, now: Duration },
-    #[error("library: what it asked for was not taken over")]
-    Unsettled,
-    #[error("heads: round fell from {before} to {now}")]
+    #[error("view: version fell from {before} to {now}")]
+    ViewVersionFell { before: u64, now: u64 },
+    #[error("view: {known} known members, limit {max}")]
+    KnownMembers { known: usize, max: usize },
+    #[error("view: the local member, {address}, is not alive in it with the current incarnation")]
+    LocalMemberMissing { address: SocketAddr },
+    #[error("view: the entry of {address} holds a member with address {id}")]
+    AddressMismatch { address: SocketAddr, id: SocketAddr },
+    #[error("view: the state of {address} dates from {since:?}, later than now, {now:?}")]
+    SinceInFuture { address: SocketAddr, since: Duration, now: Duration },
+    #[error("view: receive times of {senders} senders, limit {max}")]
+    ReceiveTimes { senders: usize, max: usize },
+    #[error("incarnation: fell from {before} to {now}")]
+    IncarnationFell { before: Incarnation, now: Incarnation },
+    #[error("incarnation: the next increment is zero")]
+    ZeroIncrement,
+    #[error("names: replaced by {address}, which has another name or is the local member")]
+    WrongReplacement { address: SocketAddr },
+    #[error("timers: {armed} armed, limit {max}")]
+    Timers { armed: usize, max: usize },
+    #[error("timers: the next announcement is at {at:?}, more than {interval:?} after {now:?}")]
+    NextAnnouncement { at: Duration, interval: Duration, now: Duration },
+    #[error("swim: effects requested by the library were not applied")]
+    UnappliedEffects,
+    #[error("lease count: round fell from {before} to {now}")]
     RoundFell { before: u64, now: u64 },
-    #[error("heads: {answers} answers, {majority} are a majority")]
-    Answers { answers: usize, majority: usize },
-    #[error("heads: an answer of {witness} counts that is blind, of another round, or of a stranger")]
-    Answer { witness: SocketAddr },
+    #[error("lease count: {responses} responses, {majority} are a majority")]
+    Responses { responses: usize, majority: usize },
     #[error(
-        "heads: a part over {count} until {until:?}, longer than a lease from the last round, at {begun:?}"
+        "lease count: the response of {witness} is incomplete, of another round, or of an unknown witness"
     )]
-    Lease { count: usize, until: Duration, begun: Duration },
-    #[error("heads: a part over {count} by {answers} answers of {witnesses} witnesses")]
-    Majority { count: usize, answers: usize, witnesses: usize },
-    #[error("heads: a part over {count}, and the answers count {union}")]
-    Count { count: usize, union: usize },
-    #[error("heads: a part from {from:?} though one until {until:?} had run out")]
-    Newcomer { from: Duration, until: Duration },
-    #[error("heads: the next round is at {next:?}, the last one was at {begun:?}")]
-    Round { next: Duration, begun: Duration },
-    #[error("witness: {holders} holders are remembered, {most} may be")]
-    Holders { holders: usize, most: usize },
-    #[error("witness: {holder} renewed at {at:?}, longer ago than the hold before {latest:?}")]
-    Old { holder: u64, at: Duration, latest: Duration },
-    #[error("seal: its number fell from {before} to {now}, or {sent} datagrams bear less numbers")]
-    Sealed { before: u64, now: u64, sent: u64 },
-    #[error("seal: {sources} senders are remembered, {most} may be")]
-    Sources { sources: usize, most: usize },
-    #[error("seal: the window of sender {source_id:016x} does not hold its highest number, {highest}")]
-    Window { source_id: u64, highest: u64 },
+    InvalidResponse { witness: SocketAddr },
+    #[error("lease count: bound {count} valid until {until:?}, longer than a lease after the start of the round at {round_started:?}")]
+    ValidTooLong { count: usize, until: Duration, round_started: Duration },
+    #[error("lease count: bound {count} from {responses} responses of {witnesses} witnesses")]
+    NoMajority { count: usize, responses: usize, witnesses: usize },
+    #[error("lease count: bound {count}, but the responses add up to {union}")]
+    CountMismatch { count: usize, union: usize },
+    #[error("lease count: bound valid from {from:?} without the wait of a newcomer; the previous one expired at {until:?}")]
+    NewcomerDidNotWait { from: Duration, until: Duration },
+    #[error("lease count: the next round is at {next:?}, the last one started at {round_started:?}")]
+    NextRound { next: Duration, round_started: Duration },
+    #[error("witness: {holders} holders, limit {max}")]
+    Holders { holders: usize, max: usize },
+    #[error("witness: {holder} renewed at {renewed_at:?}, more than the hold time before {latest:?}")]
+    ExpiredHolder { holder: u64, renewed_at: Duration, latest: Duration },
+    #[error("auth: sequence number fell from {before} to {now}, or is below the {sent} datagrams sent")]
+    SequenceNumber { before: u64, now: u64, sent: u64 },
+    #[error("auth: replay windows of {senders} senders, limit {max}")]
+    Senders { senders: usize, max: usize },
+    #[error(
+        "auth: the replay window of sender {sender:016x} does not include its highest number, {highest}"
+    )]
+    ReplayWindow { sender: u64, highest: u64 },
 }
 
-/// Nothing, or what is broken.
-pub(crate) fn hold(
+/// Returns the violation if the condition does not hold.
+pub(crate) fn ensure(
     holds: bool,
-    broken: impl FnOnce() -> InvariantViolation,
+    violation: impl FnOnce() -> InvariantViolation,
 ) -> Result<(), InvariantViolation> {
     if holds {
         Ok(())
     } else {
-        Err(broken())
+        Err(violation())
     }
 }
--- a/crates/members/src/member/check.rs
+++ b/crates/members/src/member/check.rs
@@ -1,48 +1,53 @@
-//! What holds of a member between any two steps.
+//! Invariants of a member between two steps.
 
 use super::Member;
-use crate::invariants::{hold, InvariantViolation};
+use crate::invariants::{ensure, InvariantViolation};
 use crate::lease_count::FleetSize;
 use std::time::Duration;
 
-/// How it stood before the last step: what never falls is compared with it.
+/// Values before the last step, which later values are compared with.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Marks {
+pub(super) struct Checkpoint {
     now: Duration,
     round: u64,
-    part: Option<FleetSize>,
-    sealed: u64,
+    fleet_size: Option<FleetSize>,
+    sequence_number: u64,
 }
 
 impl Member {
-    fn sealed(&self) -> u64 {
-        self.sealer.as_ref().map_or(0, |s| s.number())
+    fn sequence_number(&self) -> u64 {
+        self.signer.as_ref().map_or(0, |s| s.last_number())
     }
 
-    /// Before a step.
-    pub(super) fn mark(&mut self, now: Duration) {
-        let (round, part, sealed) = (self.heads.round(), self.heads.fleet_size(), self.sealed());
-        self.marks = Marks { now: now.max(self.marks.now), round, part, sealed };
+    /// Records the checkpoint at the start of a step.
+    pub(super) fn record_checkpoint(&mut self, now: Duration) {
+        let (round, fleet_size) = (self.lease_count.round(), self.lease_count.fleet_size());
+        let sequence_number = self.sequence_number();
+        let now = now.max(self.checkpoint.now);
+        self.checkpoint = Checkpoint { now, round, fleet_size, sequence_number };
     }
 
-    /// Whether all that holds between two steps holds: of the view ([`Swim::check`](crate::Swim::check)), of the leases
-    /// ([`LeaseCount::check`](crate::LeaseCount::check), [`Witness::check`](crate::Witness::check)), and of the seals, whose numbers
-    /// only rise. The time it takes grows as the number of members, of holders and of senders.
+    /// Checks the invariants between two steps: those of the view ([`Swim::check`](crate::Swim::check)) and of the
+    /// leases ([`LeaseCount::check`](crate::LeaseCount::check), [`Witness::check`](crate::Witness::check)), and that
+    /// sequence numbers never decrease. Takes time linear in the number of members, lease holders and senders.
     ///
     /// # Errors
-    /// The first invariant that is broken.
+    /// The first violated invariant.
     pub fn check(&self) -> Result<(), InvariantViolation> {
         self.swim.check()?;
-        self.heads.check()?;
+        self.lease_count.check()?;
         self.witness.as_ref().map_or(Ok(()), |w| w.check())?;
-        self.keys.check()?;
-        let Marks { now, round, part, sealed } = self.marks;
-        let rounds = self.heads.round();
-        hold(rounds >= round, || InvariantViolation::RoundFell { before: round, now: rounds })?;
-        self.heads.check_waited(part, now)?;
-        let (number, sent) = (self.sealed(), self.stats.sent);
-        // Each datagram has a number of its own, and each body over a connection.
-        let own = number >= sealed && number >= sent;
-        hold(own, || InvariantViolation::Sealed { before: sealed, now: number, sent })
+        self.verifier.check()?;
+        let Checkpoint { now, round, fleet_size, sequence_number } = self.checkpoint;
+        let current_round = self.lease_count.round();
+        ensure(current_round >= round, || InvariantViolation::RoundFell {
+            before: round,
+            now: current_round,
+        })?;
+        self.lease_count.check_newcomer_wait(fleet_size, now)?;
+        let (number, sent) = (self.sequence_number(), self.stats.sent);
+        // Bodies sent over a connection take sequence numbers too, so there may be more numbers than datagrams.
+        let is_valid = number >= sequence_number && number >= sent;
+        ensure(is_valid, || InvariantViolation::SequenceNumber { before: sequence_number, now: number, sent })
     }
 }
--- a/crates/members/src/member/mod.rs
+++ b/crates/members/src/member/mod.rs
@@ -1,217 +1,221 @@
-//! A member behind one door: datagrams in, datagrams out, a clock from outside.
+//! Membership of one process: SWIM, leases and authentication behind one interface of datagrams and a clock.
 
+mod application;
 mod check;
-mod other;
-mod told;
+mod types;
 
-pub use other::MAX_QUEUED_APPLICATION_MESSAGES;
-pub use told::{MemberConfig, MemberEvent, MemberStats, OutgoingDatagram};
+pub use application::MAX_QUEUED_APPLICATION_MESSAGES;
+pub use types::{MemberConfig, MemberEvent, MemberStats, OutgoingDatagram};
 
+use crate::auth::{ReceiveError, Signer, Verifier};
 use crate::identity::{Incarnation, MemberId};
 use crate::lease_count::{FleetSize, LeaseCount};
-use crate::seal::{Keys, ReceiveError, Sealer};
+use crate::messages::Message;
 use crate::swim::{MemberRecord, Swim};
 use crate::view::MembershipView;
 use crate::witness::Witness;
-use crate::words::Word;
-use check::Marks;
+use check::Checkpoint;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One member.
+/// Local member of the fleet.
 #[derive(Debug)]
 pub struct Member {
-    keys: Keys,
-    sealer: Option<Sealer>,
+    verifier: Verifier,
+    /// `None` without keys: nothing is sent.
+    signer: Option<Signer>,
     swim: Swim,
-    heads: LeaseCount,
+    lease_count: LeaseCount,
     witness: Option<Witness>,
-    out: Vec<OutgoingDatagram>,
-    notices: Vec<MemberEvent>,
+    outgoing: Vec<OutgoingDatagram>,
+    events: Vec<MemberEvent>,
     stats: MemberStats,
-    marks: Marks,
-    other: Vec<Vec<u8>>,
+    checkpoint: Checkpoint,
+    application_messages: Vec<Vec<u8>>,
 }
 
 impl Member {
-    /// A member that starts now.
-    pub fn new(now: Duration, set: MemberConfig) -> Member {
-        let (me, holder) = (set.local_id.address, set.local_id.incarnation.token);
-        let is_witness = set.witnesses.contains(&set.local_id.address);
+    /// Creates a member that starts at `now`.
+    pub fn new(now: Duration, config: MemberConfig) -> Member {
+        let (local_address, holder) = (config.local_id.address, config.local_id.incarnation.token);
+        let is_witness = config.witnesses.contains(&config.local_id.address);
         Member {
-            keys: Keys::new(&set.keys),
-            sealer: set.keys.first().map(|key| Sealer::new(key.clone(), holder)),
-            swim: Swim::new(now, set.local_id, set.swim, set.seed),
-            heads: LeaseCount::new(now, me, holder, set.lease_duration, set.witnesses),
-            witness: is_witness.then(|| Witness::new(now, me, LeaseCount::hold(set.lease_duration))),
-            out: Vec::new(),
-            notices: Vec::new(),
+            verifier: Verifier::new(&config.keys),
+            signer: config.keys.first().map(|key| Signer::new(key.clone(), holder)),
+            swim: Swim::new(now, config.local_id, config.swim, config.seed),
+            lease_count: LeaseCount::new(now, local_address, holder, config.lease_duration, config.witnesses),
+            witness: is_witness
+                .then(|| Witness::new(now, local_address, LeaseCount::hold_time(config.lease_duration))),
+            outgoing: Vec::new(),
+            events: Vec::new(),
             stats: MemberStats::default(),
-            marks: Marks::default(),
-            other: Vec::new(),
+            checkpoint: Checkpoint::default(),
+            application_messages: Vec::new(),
         }
     }
 
-    /// A datagram came. From which address says nothing: who sent it is in it, under the seal.
+    /// Handles a received datagram. The sender is identified by the authenticated contents, not by its IP address.
     ///
     /// # Errors
-    /// It was not taken, and changed nothing.
+    /// The datagram was rejected; the membership state is unchanged.
     pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
-        self.mark(now);
-        let before = self.standing();
-        let taken = self.take(now, bytes);
-        match taken {
+        self.record_checkpoint(now);
+        let before = self.reported_state();
+        let result = self.handle_message(now, bytes);
+        match result {
             Ok(()) => self.stats.received += 1,
-            Err(why) => *self.stats.rejected.entry(why).or_default() += 1,
+            Err(reason) => *self.stats.rejected.entry(reason).or_default() += 1,
         }
-        self.tell(before);
+        self.push_change_events(before);
         self.flush();
-        taken
+        result
     }
 
-    fn take(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
-        let (_, payload) = self.keys.open(bytes)?;
+    fn handle_message(&mut self, now: Duration, bytes: &[u8]) -> Result<(), ReceiveError> {
+        let (_, payload) = self.verifier.verify(bytes)?;
         match postcard::from_bytes(payload).map_err(|_| ReceiveError::Malformed)? {
-            Word::Swim(bytes) => self.swim.message(now, &bytes),
-            Word::Renew(renew) => {
-                if let Some(counted) = self.witness.as_mut().map(|w| w.renew(now, renew)) {
-                    self.say(renew.reply, &Word::Counted(counted));
+            Message::Swim(bytes) => self.swim.handle_message(now, &bytes),
+            Message::RenewRequest(request) => {
+                if let Some(response) = self.witness.as_mut().map(|w| w.handle_request(now, request)) {
+                    self.send(request.reply_to, &Message::RenewResponse(response));
                 }
                 Ok(())
             }
-            Word::Counted(counted) => {
-                self.heads.counted(now, counted);
+            Message::RenewResponse(response) => {
+                self.lease_count.handle_response(now, response);
                 Ok(())
             }
-            Word::Other(bytes) => self.hear_other(bytes),
+            Message::Application(bytes) => self.queue_application_message(bytes),
         }
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
-        self.mark(now);
-        let before = self.standing();
-        if let Some(late) = self.swim.tick(now) {
-            self.notices.push(MemberEvent::Stalled(late));
+        self.record_checkpoint(now);
+        let before = self.reported_state();
+        if let Some(stalled_for) = self.swim.tick(now) {
+            self.events.push(MemberEvent::Stalled(stalled_for));
         }
-        if let Some((renew, witnesses)) = self.heads.due(now) {
-            let me = self.swim.local_id().address;
+        if let Some((request, witnesses)) = self.lease_count.start_round(now) {
+            let local_address = self.swim.local_id().address;
             for to in witnesses {
                 match &mut self.witness {
-                    Some(own) if to == me => {
-                        let counted = own.renew(now, renew);
-                        self.heads.counted(now, counted);
+                    Some(own) if to == local_address => {
+                        let response = own.handle_request(now, request);
+                        self.lease_count.handle_response(now, response);
                     }
-                    _ => self.say(to, &Word::Renew(renew)),
+                    _ => self.send(to, &Message::RenewRequest(request)),
                 }
             }
         }
-        self.tell(before);
+        self.push_change_events(before);
         self.flush();
     }
 
-    /// What an operator hears of when it changes.
-    fn standing(&self) -> (Incarnation, bool) {
+    /// State whose changes are reported as events: the incarnation, and whether the member is replaced.
+    fn reported_state(&self) -> (Incarnation, bool) {
         (self.swim.local_id().incarnation, self.swim.replaced_by().is_some())
     }
 
-    fn tell(&mut self, (incarnation, back): (Incarnation, bool)) {
+    fn push_change_events(&mut self, (incarnation, was_replaced): (Incarnation, bool)) {
         if self.swim.local_id().incarnation != incarnation {
-            self.notices.push(MemberEvent::IncarnationRaised(self.swim.local_id().clone()));
+            self.events.push(MemberEvent::IncarnationRaised(self.swim.local_id().clone()));
         }
-        if let (Some(who), false) = (self.swim.replaced_by(), back) {
-            self.notices.push(MemberEvent::Replaced(who.clone()));
+        if let (Some(id), false) = (self.swim.replaced_by(), was_replaced) {
+            self.events.push(MemberEvent::Replaced(id.clone()));
         }
     }
 
-    /// When [`Member::tick`] is next due.
+    /// Time at which [`Member::tick`] is next due.
     pub fn next_due(&self) -> Duration {
-        self.heads.next_due().map_or(self.swim.next_due(), |t| t.min(self.swim.next_due()))
+        self.lease_count.next_due().map_or(self.swim.next_due(), |t| t.min(self.swim.next_due()))
     }
 
-    /// Leaves with a word.
+    /// Announces to other members that this one leaves.
     pub fn leave(&mut self, now: Duration) {
-        self.mark(now);
+        self.record_checkpoint(now);
         self.swim.leave(now);
         self.flush();
     }
 
-    /// All that is held of the members, sealed, for one that asks over the side address with that number.
+    /// Returns all membership records as a signed body, for a member that requested them with `nonce`.
+    ///
+    /// `None` if there is no key to sign with.
     pub fn records(&mut self, nonce: u64) -> Option<Vec<u8>> {
         let payload = postcard::to_stdvec(&(nonce, self.swim.records())).ok()?;
-        self.sealer.as_mut().map(|s| s.seal(&payload))
+        self.signer.as_mut().map(|s| s.sign(&payload))
     }
 
-    /// Another's answer to that question.
+    /// Merges the records of another member, received in response to a request with `nonce`.
     ///
     /// # Errors
-    /// It was not taken, and changed nothing.
+    /// The body was rejected; the membership state is unchanged.
     pub fn sync(&mut self, now: Duration, nonce: u64, body: &[u8]) -> Result<(), ReceiveError> {
-        self.mark(now);
-        let (_, payload) = self.keys.open_body(body)?;
-        let (asked, records) =
+        self.record_checkpoint(now);
+        let (_, payload) = self.verifier.verify_body(body)?;
+        let (response_nonce, records) =
             postcard::from_bytes::<(u64, Vec<MemberRecord>)>(payload).map_err(|_| ReceiveError::Malformed)?;
-        if asked != nonce {
+        if response_nonce != nonce {
             return Err(ReceiveError::Replayed);
         }
-        let before = self.standing();
+        let before = self.reported_state();
         self.swim.sync(now, records);
-        self.tell(before);
+        self.push_change_events(before);
         self.flush();
         Ok(())
     }
 
-    /// Datagrams to be sent, since the last call.
+    /// Takes the datagrams to be sent since the last call.
     pub fn take_datagrams(&mut self) -> Vec<OutgoingDatagram> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// What happened, since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<MemberEvent> {
-        std::mem::take(&mut self.notices)
+        std::mem::take(&mut self.events)
     }
 
-    /// MemberId is thought to be there.
+    /// Members known to this one.
     pub fn view(&self) -> &MembershipView {
         self.swim.view()
     }
 
-    /// This member.
+    /// Identity of the local member, with its current incarnation.
     pub fn local_id(&self) -> &MemberId {
         self.swim.local_id()
     }
 
-    /// MemberId bears the same name, where this process is to step back.
+    /// Younger process with the same name, if there is one: this process must accept nothing new.
     pub fn replaced_by(&self) -> Option<&MemberId> {
         self.swim.replaced_by()
     }
 
-    /// The part, to be asked by [`FleetSize::at`] at the time of use.
+    /// Latest bound on the fleet size; use it through [`FleetSize::valid_at`] at the time of use.
     pub fn fleet_size(&self) -> Option<FleetSize> {
-        self.heads.fleet_size()
+        self.lease_count.fleet_size()
     }
 
-    /// The witness in this process, where it is one.
+    /// Witness in this process, if it is one.
     pub fn witness(&self) -> Option<&Witness> {
         self.witness.as_ref()
     }
 
-    /// Figures since the start.
+    /// Datagram counters since the start.
     pub fn stats(&self) -> &MemberStats {
         &self.stats
     }
 
     fn flush(&mut self) {
         for (to, bytes) in self.swim.take_sends() {
-            self.say(to, &Word::Swim(bytes));
+            self.send(to, &Message::Swim(bytes));
         }
     }
 
-    fn say(&mut self, to: SocketAddr, word: &Word) {
-        let (Some(sealer), Ok(payload)) = (&mut self.sealer, postcard::to_stdvec(word)) else { return };
-        let bytes = sealer.seal(&payload);
+    fn send(&mut self, to: SocketAddr, message: &Message) {
+        let (Some(signer), Ok(payload)) = (&mut self.signer, postcard::to_stdvec(message)) else { return };
+        let bytes = signer.sign(&payload);
         self.stats.sent += 1;
         self.stats.sent_bytes += bytes.len() as u64;
-        self.out.push(OutgoingDatagram { to, bytes });
+        self.outgoing.push(OutgoingDatagram { to, bytes });
     }
 }
--- a/crates/members/src/swim/effects.rs
+++ b/crates/members/src/swim/effects.rs
@@ -1,16 +1,19 @@
-//! What the library wants done.
+//! Effects that `foca` requests from its runtime, collected until they are applied.
 
 use crate::identity::MemberId;
 use foca::{Notification, Runtime, Timer};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the library wants done.
+/// Effects requested since they were last applied.
 #[derive(Default)]
 pub(super) struct Effects {
     pub(super) sends: Vec<(SocketAddr, Vec<u8>)>,
+    /// Timers to arm, each with its delay.
     pub(super) timers: Vec<(Duration, Timer<MemberId>)>,
+    /// True if the membership changed.
     pub(super) changed: bool,
+    /// True if other members declared the local incarnation down.
     pub(super) refused: bool,
 }
 
--- a/crates/members/src/view.rs
+++ b/crates/members/src/view.rs
@@ -1,4 +1,4 @@
-//! MemberId is thought to be there.
+//! Membership view of one member.
 
 use crate::identity::MemberId;
 use serde::Serialize;
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How sure it is that a member is there.
+/// State of a member in the SWIM protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Answers its probes.
+    /// Answers probes, of this member or of others.
     #[serde(rename = "there")]
     Alive,
     /// Did not answer its last probes and may still refute the suspicion.
@@ -21,38 +21,38 @@
     Down,
 }
 
-/// One member as this one sees it.
+/// One member as seen by the local member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownMember {
-    /// MemberId.
+    /// Identity, with the latest known incarnation.
     pub id: MemberId,
-    /// How sure that is.
+    /// State in the SWIM protocol.
     pub state: MemberState,
-    /// Since when, on this member's clock.
+    /// Time since which the member has this identity and state, on the local clock.
     pub since: Duration,
-    /// When a datagram of its own last came here.
+    /// Time at which a datagram sent by the member itself was last received. `None` if never.
     pub last_received: Option<Duration>,
-    /// Why it is seen so, in words.
+    /// Reason for the state, for operators.
     pub reason: &'static str,
 }
 
-/// All members. Its number rises with each change and never falls while the process lives.
+/// All known members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipView {
-    /// Rises with each change.
+    /// Incremented with each change; never decreases within a process.
     pub version: u64,
-    /// By address; this member itself is among them.
+    /// Members by address, the local member included.
     pub members: BTreeMap<SocketAddr, KnownMember>,
 }
 
 impl MembershipView {
-    /// Members that are surely there.
+    /// Number of members that are alive.
     pub fn alive_count(&self) -> usize {
-        self.members.values().filter(|s| s.state == MemberState::Alive).count()
+        self.members.values().filter(|m| m.state == MemberState::Alive).count()
     }
 
-    /// Members that may be there: those in doubt too.
+    /// Number of members that are alive or suspect.
     pub fn alive_or_suspect_count(&self) -> usize {
-        self.members.values().filter(|s| s.state != MemberState::Down).count()
+        self.members.values().filter(|m| m.state != MemberState::Down).count()
     }
 }
--- a/crates/members/src/witness.rs
+++ b/crates/members/src/witness.rs
@@ -1,67 +1,75 @@
-//! A witness: who has renewed a lease, for a while.
+//! Witness that remembers lease renewals for a limited time.
 
-use crate::invariants::{hold, InvariantViolation};
-use crate::words::{Counted, Renew};
+use crate::invariants::{ensure, InvariantViolation};
+use crate::messages::{RenewRequest, RenewResponse};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most processes that a witness remembers; past them it is blind.
+/// Maximum number of lease holders of one witness. Beyond it the witness reports itself as recovering.
 pub const MAX_LEASE_HOLDERS: usize = 65_536;
 
-/// Remembers who renewed, each for the hold. It keeps nothing over its own death, and says so.
+/// Lease holders, each remembered for the hold time after its last renewal.
+///
+/// Nothing is persisted: after a restart the witness reports itself as recovering for the hold time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Witness {
-    me: SocketAddr,
-    hold: Duration,
-    /// It knows of everybody that may still hold a lease from then on.
-    sees_from: Duration,
+    local_address: SocketAddr,
+    hold_time: Duration,
+    /// Time from which every possible lease holder is known.
+    complete_from: Duration,
     renewed: BTreeMap<u64, Duration>,
 }
 
 impl Witness {
-    /// One that starts now. `me`: as the settings name it; `hold`: as all members have it.
-    pub fn new(now: Duration, me: SocketAddr, hold: Duration) -> Witness {
-        Witness { me, hold, sees_from: now + hold, renewed: BTreeMap::new() }
+    /// Creates a witness that starts at `now`.
+    ///
+    /// `local_address` must be the one in the configuration, and `hold_time` the same in all members.
+    pub fn new(now: Duration, local_address: SocketAddr, hold_time: Duration) -> Witness {
+        Witness { local_address, hold_time, complete_from: now + hold_time, renewed: BTreeMap::new() }
     }
 
-    /// A member renews: its answer counts all that may hold a lease, the asker included.
-    pub fn renew(&mut self, now: Duration, renew: Renew) -> Counted {
-        let hold = self.hold;
-        self.renewed.retain(|_, at| *at + hold > now);
-        if self.renewed.len() < MAX_LEASE_HOLDERS || self.renewed.contains_key(&renew.holder) {
-            self.renewed.insert(renew.holder, now);
+    /// Records a renewal. The response counts all processes that may hold a lease, the requester included.
+    pub fn handle_request(&mut self, now: Duration, request: RenewRequest) -> RenewResponse {
+        let hold_time = self.hold_time;
+        self.renewed.retain(|_, renewed_at| *renewed_at + hold_time > now);
+        if self.renewed.len() < MAX_LEASE_HOLDERS || self.renewed.contains_key(&request.holder) {
+            self.renewed.insert(request.holder, now);
         } else {
-            // It can't remember this one: it must not vouch for a count without it for as long as it may hold.
-            self.sees_from = now + hold;
+            // This holder cannot be stored, so no count may be reported while its lease may be valid.
+            self.complete_from = now + hold_time;
         }
-        Counted {
-            witness: self.me,
-            round: renew.round,
-            count: u32::try_from(self.renewed.len()).unwrap_or(u32::MAX),
-            print: self.renewed.keys().fold(0, |print, holder| print ^ holder),
-            blind: now < self.sees_from,
+        RenewResponse {
+            witness: self.local_address,
+            round: request.round,
+            holder_count: u32::try_from(self.renewed.len()).unwrap_or(u32::MAX),
+            holder_fingerprint: self.renewed.keys().fold(0, |print, holder| print ^ holder),
+            recovering: now < self.complete_from,
         }
     }
 
-    /// Whether all that holds after a renewal holds: holders are bounded, none is older than the hold, and it is blind no
-    /// longer than a hold.
+    /// Checks what must hold after a renewal: the number of holders is bounded, and no renewal is older than the hold
+    /// time.
     ///
     /// # Errors
-    /// The first invariant that is broken.
+    /// The first violated invariant.
     pub fn check(&self) -> Result<(), InvariantViolation> {
-        let (holders, most) = (self.renewed.len(), MAX_LEASE_HOLDERS);
-        hold(holders <= most, || InvariantViolation::Holders { holders, most })?;
+        let (holders, max) = (self.renewed.len(), MAX_LEASE_HOLDERS);
+        ensure(holders <= max, || InvariantViolation::Holders { holders, max })?;
         let Some(latest) = self.renewed.values().max().copied() else { return Ok(()) };
-        for (holder, at) in &self.renewed {
-            let (holder, at) = (*holder, *at);
-            hold(at + self.hold > latest, || InvariantViolation::Old { holder, at, latest })?;
+        for (holder, renewed_at) in &self.renewed {
+            let (holder, renewed_at) = (*holder, *renewed_at);
+            ensure(renewed_at + self.hold_time > latest, || InvariantViolation::ExpiredHolder {
+                holder,
+                renewed_at,
+                latest,
+            })?;
         }
         Ok(())
     }
 
-    /// Processes that it remembers.
-    pub fn holders(&self) -> usize {
+    /// Number of remembered lease holders.
+    pub fn holder_count(&self) -> usize {
         self.renewed.len()
     }
 }
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -1,9 +1,10 @@
-//! All interleavings of leases at three witnesses: renewals and answers lost or late, members that stand still, die
-//! and come back, a witness that forgets. At each instant one over the counts in force sums to one at the most.
+//! Model check of leases at three witnesses: all interleavings of lost or late requests and responses, members that
+//! stall, crash and restart, and a witness that loses its state. At all times the shares, 1/n for each valid bound n,
+//! sum to at most one.
 //!
-//! What is lost is left out; what is late too, for it is no worse: a renewal whose answer is lost or late makes a
-//! witness count more and its sender hold less. A member asks two witnesses of the three in each round, which ones
-//! is open: the answer of a third is never looked at.
+//! Lost and late messages are not modelled, because they cannot make the sum larger: a request whose response is lost
+//! or late raises a witness's count and gives its sender no bound. In each round a member sends to any two of the three
+//! witnesses, since the response of the third is never used.
 
 use cloverhollow_members::*;
 use stateright::{Checker, Model, Property};
@@ -28,130 +29,137 @@
     now: Duration,
     members: Vec<Option<LeaseCount>>,
     witnesses: Vec<Witness>,
-    /// Rounds of this tick: the member, its question, and whom it has asked already.
-    rounds: BTreeMap<usize, (Renew, BTreeSet<usize>)>,
-    lives: u64,
-    deaths: u8,
-    forgets: u8,
+    /// Rounds in progress by member: the request, and the witnesses that have received it.
+    rounds: BTreeMap<usize, (RenewRequest, BTreeSet<usize>)>,
+    /// Number of process starts, which gives each its holder number.
+    starts: u64,
+    crashes: u8,
+    witness_restarts: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Happens {
+enum Transition {
     Tick,
     Round(usize),
-    Asks(usize, usize),
-    Dies(usize),
+    /// A member's request reaches a witness, and the response the member.
+    Renews(usize, usize),
+    Crashes(usize),
     Starts(usize),
-    Forgets(usize),
+    /// A witness restarts without its state.
+    WitnessRestarts(usize),
 }
 
-struct World {
+struct LeaseModel {
     members: usize,
     ticks: u32,
-    deaths: u8,
-    forgets: u8,
-    /// How long witnesses keep a renewal.
-    hold: Duration,
+    max_crashes: u8,
+    max_witness_restarts: u8,
+    /// Time for which witnesses remember a renewal.
+    hold_time: Duration,
 }
 
+const SHARES_SUM_TO_ONE: &str = "shares sum to at most one";
+const BOUND_VALID: &str = "a bound is valid";
+const BOUND_EXPIRED: &str = "a bound expires";
+
 impl State {
     fn start(&mut self, i: usize) {
-        self.lives += 1;
+        self.starts += 1;
         self.members[i] =
-            Some(LeaseCount::new(self.now, address(100 + i as u16), self.lives, LEASE, witnesses()));
+            Some(LeaseCount::new(self.now, address(100 + i as u16), self.starts, LEASE, witnesses()));
     }
 
-    fn round(&mut self, i: usize) {
-        if let Some((renew, _)) = self.members[i].as_mut().and_then(|m| m.due(self.now)) {
-            self.rounds.insert(i, (renew, BTreeSet::new()));
+    fn start_round(&mut self, i: usize) {
+        if let Some((request, _)) = self.members[i].as_mut().and_then(|m| m.start_round(self.now)) {
+            self.rounds.insert(i, (request, BTreeSet::new()));
         }
     }
 
-    /// A renewal arrives and its answer comes back.
-    fn asks(&mut self, i: usize, w: usize) {
-        let Some((renew, asked)) = self.rounds.get_mut(&i) else { return };
+    fn renew(&mut self, i: usize, w: usize) {
+        let Some((request, asked)) = self.rounds.get_mut(&i) else { return };
         asked.insert(w);
-        let counted = self.witnesses[w].renew(self.now, *renew);
+        let response = self.witnesses[w].handle_request(self.now, *request);
         if let Some(m) = self.members[i].as_mut() {
-            m.counted(self.now, counted);
+            m.handle_response(self.now, response);
         }
         if self.rounds[&i].1.len() == 2 {
             self.rounds.remove(&i);
         }
     }
 
-    fn parts(&self) -> Vec<usize> {
+    fn valid_bounds(&self) -> Vec<usize> {
         self.members.iter().flatten().filter_map(|m| m.fleet_size()?.valid_at(self.now)).collect()
     }
 }
 
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
-    type Action = Happens;
+    type Action = Transition;
 
-    /// The first member has held its part for long; the others are not there yet.
+    /// The first member has a valid bound; the others have not started.
     fn init_states(&self) -> Vec<State> {
-        let witness = |w: SocketAddr| Witness::new(Duration::ZERO, w, self.hold);
+        let witness = |w: SocketAddr| Witness::new(Duration::ZERO, w, self.hold_time);
         let mut s = State {
             now: BEGIN,
             members: vec![None; self.members],
             witnesses: witnesses().into_iter().map(witness).collect(),
             rounds: BTreeMap::new(),
-            lives: 0,
-            deaths: 0,
-            forgets: 0,
+            starts: 0,
+            crashes: 0,
+            witness_restarts: 0,
         };
         s.start(0);
         for _ in 0..4 {
-            s.round(0);
-            (0..2).for_each(|w| s.asks(0, w));
+            s.start_round(0);
+            (0..2).for_each(|w| s.renew(0, w));
             s.now += TICK;
         }
         s.now -= TICK;
         vec![s]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Happens>) {
-        // A round that is left half done makes a witness count more and its member hold less: no worse either.
+    fn actions(&self, s: &State, actions: &mut Vec<Transition>) {
+        // Time passes only between complete rounds. An incomplete one cannot make the sum larger either: it raises a
+        // witness's count and gives no new bound.
         if s.rounds.is_empty() && s.now < BEGIN + TICK * (3 + self.ticks) {
-            out.push(Happens::Tick);
+            actions.push(Transition::Tick);
         }
         for (i, (_, asked)) in &s.rounds {
-            out.extend((0..3).filter(|w| !asked.contains(w)).map(|w| Happens::Asks(*i, w)));
+            actions.extend((0..3).filter(|w| !asked.contains(w)).map(|w| Transition::Renews(*i, w)));
         }
         for (i, m) in s.members.iter().enumerate() {
             match m {
                 Some(m) => {
                     if m.next_due().is_some_and(|t| t <= s.now) {
-                        out.push(Happens::Round(i));
+                        actions.push(Transition::Round(i));
                     }
-                    if s.deaths < self.deaths {
-                        out.push(Happens::Dies(i));
+                    if s.crashes < self.max_crashes {
+                        actions.push(Transition::Crashes(i));
                     }
                 }
-                None => out.push(Happens::Starts(i)),
+                None => actions.push(Transition::Starts(i)),
             }
         }
-        if s.forgets < self.forgets {
-            out.extend((0..3).map(Happens::Forgets));
+        if s.witness_restarts < self.max_witness_restarts {
+            actions.extend((0..3).map(Transition::WitnessRestarts));
         }
     }
 
-    fn next_state(&self, s: &State, action: Happens) -> Option<State> {
+    fn next_state(&self, s: &State, action: Transition) -> Option<State> {
         let mut s = s.clone();
         match action {
-            Happens::Tick => s.now += TICK,
-            Happens::Round(i) => s.round(i),
-            Happens::Asks(i, w) => s.asks(i, w),
-            Happens::Dies(i) => {
-                s.deaths += 1;
+            Transition::Tick => s.now += TICK,
+            Transition::Round(i) => s.start_round(i),
+            Transition::Renews(i, w) => s.renew(i, w),
+            Transition::Crashes(i) => {
+                s.crashes += 1;
                 s.members[i] = None;
                 s.rounds.remove(&i);
             }
-            Happens::Starts(i) => s.start(i),
-            Happens::Forgets(w) => {
-                s.forgets += 1;
-                s.witnesses[w] = Witness::new(s.now, witnesses()[w], self.hold);
+            Transition::Starts(i) => s.start(i),
+            Transition::WitnessRestarts(w) => {
+                s.witness_restarts += 1;
+                s.witnesses[w] = Witness::new(s.now, witnesses()[w], self.hold_time);
             }
         }
         Some(s)
@@ -159,57 +167,67 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one over the counts sums to one at the most", |_, s: &State| {
-                // By a multiple of all counts that can come up here.
-                s.parts().iter().map(|n| 2_520 / *n as u32).sum::<u32>() <= 2_520
+            Property::always(SHARES_SUM_TO_ONE, |_, s: &State| {
+                // In units of 1/2520, a common multiple of all counts that occur.
+                s.valid_bounds().iter().map(|n| 2_520 / *n as u32).sum::<u32>() <= 2_520
             }),
-            Property::sometimes("somebody has a part", |_, s: &State| !s.parts().is_empty()),
-            Property::sometimes("two have one", |_, s: &State| s.parts().len() == 2),
-            Property::sometimes("a lease runs out", |_, s: &State| {
-                s.parts().is_empty() && s.members[0].as_ref().is_some_and(|m| m.fleet_size().is_some())
+            Property::sometimes(BOUND_VALID, |_, s: &State| !s.valid_bounds().is_empty()),
+            Property::sometimes("two bounds are valid", |_, s: &State| s.valid_bounds().len() == 2),
+            Property::sometimes(BOUND_EXPIRED, |_, s: &State| {
+                s.valid_bounds().is_empty() && s.members[0].as_ref().is_some_and(|m| m.fleet_size().is_some())
             }),
         ]
     }
 }
 
-fn check(world: World) -> (usize, Option<&'static str>) {
-    let checker = world.checker().threads(2).spawn_bfs().join();
-    let breach = checker.discovery("one over the counts sums to one at the most");
-    let seen = ["somebody has a part", "a lease runs out"];
-    for name in seen {
+/// Returns the number of states, and "over" if the shares sum to more than one in any of them.
+fn check(model: LeaseModel) -> (usize, Option<&'static str>) {
+    let checker = model.checker().threads(2).spawn_bfs().join();
+    let violation = checker.discovery(SHARES_SUM_TO_ONE);
+    let reached = [BOUND_VALID, BOUND_EXPIRED];
+    for name in reached {
         checker.assert_any_discovery(name);
     }
-    (checker.unique_state_count(), breach.map(|_| "over"))
+    (checker.unique_state_count(), violation.map(|_| "over"))
 }
 
 #[test]
-fn a_newcomer_beside_one_that_stands_still_or_is_cut_off() {
-    let hold = LeaseCount::hold(LEASE);
-    let (states, breach) = check(World { members: 2, ticks: 4, deaths: 0, forgets: 0, hold });
+fn shares_hold_with_a_newcomer_beside_a_stalled_or_partitioned_member() {
+    let hold_time = LeaseCount::hold_time(LEASE);
+    let (states, violation) =
+        check(LeaseModel { members: 2, ticks: 4, max_crashes: 0, max_witness_restarts: 0, hold_time });
     println!("{states} states");
-    assert_eq!(breach, None);
+    assert_eq!(violation, None);
     assert!(states > 10_000, "{states}");
 }
 
 #[test]
-fn a_witness_that_forgets() {
-    let hold = LeaseCount::hold(LEASE);
-    let (states, breach) = check(World { members: 2, ticks: 3, deaths: 0, forgets: 1, hold });
+fn shares_hold_when_a_witness_loses_its_state() {
+    let hold_time = LeaseCount::hold_time(LEASE);
+    let (states, violation) =
+        check(LeaseModel { members: 2, ticks: 3, max_crashes: 0, max_witness_restarts: 1, hold_time });
     println!("{states} states");
-    assert_eq!(breach, None);
+    assert_eq!(violation, None);
 }
 
 #[test]
-fn a_member_that_dies_and_comes_back() {
-    let hold = LeaseCount::hold(LEASE);
-    let (states, breach) = check(World { members: 2, ticks: 3, deaths: 1, forgets: 0, hold });
+fn shares_hold_when_a_member_crashes_and_restarts() {
+    let hold_time = LeaseCount::hold_time(LEASE);
+    let (states, violation) =
+        check(LeaseModel { members: 2, ticks: 3, max_crashes: 1, max_witness_restarts: 0, hold_time });
     println!("{states} states");
-    assert_eq!(breach, None);
+    assert_eq!(violation, None);
 }
 
-/// The model can fail: witnesses that keep a renewal for less than a lease let one member be counted out.
+/// The model can detect violations: with a hold time below a lease, witnesses drop a member whose bound is still valid.
 #[test]
-fn with_too_short_a_hold_the_sum_goes_over() {
-    let (_, breach) = check(World { members: 2, ticks: 4, deaths: 0, forgets: 0, hold: LEASE / 4 });
-    assert_eq!(breach, Some("over"));
+fn a_hold_time_below_a_lease_violates_the_shares() {
+    let (_, violation) = check(LeaseModel {
+        members: 2,
+        ticks: 4,
+        max_crashes: 0,
+        max_witness_restarts: 0,
+        hold_time: LEASE / 4,
+    });
+    assert_eq!(violation, Some("over"));
 }
--- a/crates/members/tests/random.rs
+++ b/crates/members/tests/random.rs
@@ -1,6 +1,6 @@
-//! Leases under random load: rounds lost, late and doubled, witnesses that start anew, members that stand still, die and
-//! come back, clocks that differ in pace by a tenth. The parts in force sum to one at the most, and each machine is
-//! looked at after each step.
+//! Property test of the leases: messages lost, late and duplicated, witnesses that restart, members that stall, crash
+//! and restart, and clocks whose rates differ by a tenth. The shares always sum to at most one, and the invariants of
+//! each state machine are checked after each step.
 
 use cloverhollow_members::*;
 use proptest::prelude::*;
@@ -12,127 +12,134 @@
 const LEASE: Duration = Duration::from_secs(4);
 const BEAT: Duration = Duration::from_millis(250);
 const MEMBERS: usize = 5;
-/// Messages that the network holds back at the most.
-const MOST_LATE: usize = 64;
+/// Maximum number of delayed messages.
+const MAX_DELAYED: usize = 64;
 
 fn address(i: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7_000 + i as u16))
 }
 
-/// What is given at the start: how many witnesses, and each process's clock in thousandths of true time.
+/// Parameters of a run: the number of witnesses, and the clock rate of each process in thousandths.
 #[derive(Clone, Debug)]
-struct Given {
+struct Params {
     witnesses: usize,
-    pace: Vec<u32>,
+    clock_rates: Vec<u32>,
 }
 
+/// Step of a run.
 #[derive(Clone, Debug)]
-enum Happens {
-    Passes(u64),
-    /// Which witnesses a member reaches from now on, and which reach it; a bit each.
-    Wires(usize, u8, u8),
-    /// It stands still for so many beats.
+enum Step {
+    /// Lets a number of beats pass.
+    Beats(u64),
+    /// Sets the witnesses that a member can send to, and those that it can receive from, as bit masks.
+    SetLinks(usize, u8, u8),
+    /// Stalls a member for a number of beats.
     Stalls(usize, u64),
-    Dies(usize),
+    Crashes(usize),
     Starts(usize),
-    Forgets(usize),
-    /// Something that was held back comes, and may come once more.
-    Comes(usize, bool),
+    WitnessRestarts(usize),
+    /// Delivers a delayed message, which is duplicated if the flag is set.
+    DeliversDelayed(usize, bool),
 }
 
-impl ReferenceStateMachine for Given {
-    type State = Given;
-    type Transition = Happens;
+impl ReferenceStateMachine for Params {
+    type State = Params;
+    type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Given> {
-        let pace = proptest::collection::vec(953u32..=1_047, MEMBERS + 5);
-        (1usize..=5, pace).prop_map(|(witnesses, pace)| Given { witnesses, pace }).boxed()
+    fn init_state() -> BoxedStrategy<Params> {
+        let clock_rates = proptest::collection::vec(953u32..=1_047, MEMBERS + 5);
+        (1usize..=5, clock_rates)
+            .prop_map(|(witnesses, clock_rates)| Params { witnesses, clock_rates })
+            .boxed()
     }
 
-    fn transitions(_: &Given) -> BoxedStrategy<Happens> {
-        let wires = || prop_oneof![2 => Just(0b1_1111u8), 1 => 0u8..32];
+    fn transitions(_: &Params) -> BoxedStrategy<Step> {
+        let links = || prop_oneof![2 => Just(0b1_1111u8), 1 => 0u8..32];
         prop_oneof![
-            6 => (1u64..40).prop_map(Happens::Passes),
-            4 => (0..MEMBERS, wires(), wires()).prop_map(|(i, to, back)| Happens::Wires(i, to, back)),
-            2 => (0..MEMBERS, 1u64..40).prop_map(|(i, beats)| Happens::Stalls(i, beats)),
-            1 => (0..MEMBERS).prop_map(Happens::Dies),
-            2 => (0..MEMBERS).prop_map(Happens::Starts),
-            1 => (0usize..5).prop_map(Happens::Forgets),
-            4 => (0usize..MOST_LATE, any::<bool>()).prop_map(|(n, again)| Happens::Comes(n, again)),
+            6 => (1u64..40).prop_map(Step::Beats),
+            4 => (0..MEMBERS, links(), links()).prop_map(|(i, send, receive)| Step::SetLinks(i, send, receive)),
+            2 => (0..MEMBERS, 1u64..40).prop_map(|(i, beats)| Step::Stalls(i, beats)),
+            1 => (0..MEMBERS).prop_map(Step::Crashes),
+            2 => (0..MEMBERS).prop_map(Step::Starts),
+            1 => (0usize..5).prop_map(Step::WitnessRestarts),
+            4 => (0usize..MAX_DELAYED, any::<bool>()).prop_map(|(n, duplicate)| Step::DeliversDelayed(n, duplicate)),
         ]
         .boxed()
     }
 
-    fn apply(given: Given, _: &Happens) -> Given {
-        given
+    fn apply(params: Params, _: &Step) -> Params {
+        params
     }
 }
 
 enum Message {
-    Renew(usize, Renew),
-    Counted(usize, Counted),
+    /// Request on its way to a witness.
+    Request(usize, RenewRequest),
+    /// Response on its way to a member.
+    Response(usize, RenewResponse),
 }
 
 struct Front {
-    heads: LeaseCount,
-    wakes: u64,
-    /// Bits of the witnesses that it reaches, and that reach it.
-    wires: (u8, u8),
+    lease_count: LeaseCount,
+    stalled_until: u64,
+    /// Bit masks of the witnesses that the member can send to, and of those that it can receive from.
+    links: (u8, u8),
 }
 
-struct World {
-    given: Given,
+struct Fleet {
+    params: Params,
     beats: u64,
-    lives: u64,
+    starts: u64,
     members: Vec<Option<Front>>,
     witnesses: Vec<Witness>,
-    late: Vec<Message>,
-    in_force: usize,
+    delayed: Vec<Message>,
+    valid_bounds: usize,
 }
 
-impl World {
-    /// A process's own time: it has gone on at its own pace for long.
+impl Fleet {
+    /// Clock of a process, which runs at its own rate.
     fn clock(&self, process: usize) -> Duration {
-        Duration::from_secs(1_000) + (BEAT * self.beats as u32) * self.given.pace[process] / 1_000
+        Duration::from_secs(1_000) + (BEAT * self.beats as u32) * self.params.clock_rates[process] / 1_000
     }
 
     fn start(&mut self, i: usize) {
         if self.members[i].is_some() {
             return;
         }
-        self.lives += 1;
-        let witnesses = (0..self.given.witnesses).map(address).collect();
-        let heads = LeaseCount::new(self.clock(i), address(100 + i), self.lives * 7_919, LEASE, witnesses);
-        self.members[i] = Some(Front { heads, wakes: 0, wires: (u8::MAX, u8::MAX) });
+        self.starts += 1;
+        let witnesses = (0..self.params.witnesses).map(address).collect();
+        let lease_count =
+            LeaseCount::new(self.clock(i), address(100 + i), self.starts * 7_919, LEASE, witnesses);
+        self.members[i] = Some(Front { lease_count, stalled_until: 0, links: (u8::MAX, u8::MAX) });
     }
 
-    fn hold_back(&mut self, message: Message) {
-        if self.late.len() < MOST_LATE {
-            self.late.push(message);
+    fn delay(&mut self, message: Message) {
+        if self.delayed.len() < MAX_DELAYED {
+            self.delayed.push(message);
         }
     }
 
-    /// A renewal reaches a witness; its answer comes back, or is held back.
-    fn renewed(&mut self, i: usize, w: usize, renew: Renew) {
+    /// Delivers a request to a witness. The response is delivered or delayed.
+    fn deliver_request(&mut self, i: usize, w: usize, request: RenewRequest) {
         let now = self.clock(MEMBERS + w);
-        let counted = self.witnesses[w].renew(now, renew);
+        let response = self.witnesses[w].handle_request(now, request);
         assert_eq!(self.witnesses[w].check(), Ok(()), "witness {w}");
-        let back = self.members[i].as_ref().is_some_and(|m| m.wires.1 >> w & 1 == 1);
-        if back {
-            self.counted(i, counted);
+        let is_reachable = self.members[i].as_ref().is_some_and(|m| m.links.1 >> w & 1 == 1);
+        if is_reachable {
+            self.deliver_response(i, response);
         } else {
-            self.hold_back(Message::Counted(i, counted));
+            self.delay(Message::Response(i, response));
         }
     }
 
-    fn counted(&mut self, i: usize, counted: Counted) {
+    fn deliver_response(&mut self, i: usize, response: RenewResponse) {
         let now = self.clock(i);
-        let stands = |m: &&mut Front| m.wakes <= self.beats;
-        if let Some(m) = self.members[i].as_mut().filter(stands) {
-            m.heads.counted(now, counted);
-            assert_eq!(m.heads.check(), Ok(()), "member {i}");
+        let is_running = |m: &&mut Front| m.stalled_until <= self.beats;
+        if let Some(m) = self.members[i].as_mut().filter(is_running) {
+            m.lease_count.handle_response(now, response);
+            assert_eq!(m.lease_count.check(), Ok(()), "member {i}");
         } else if self.members[i].is_some() {
-            self.hold_back(Message::Counted(i, counted));
+            self.delay(Message::Response(i, response));
         }
     }
 
@@ -141,60 +148,60 @@
         for i in 0..MEMBERS {
             let now = self.clock(i);
             let beats = self.beats;
-            let Some(m) = self.members[i].as_mut().filter(|m| m.wakes <= beats) else { continue };
-            let (round, to) = (m.heads.due(now), m.wires.0);
-            assert_eq!(m.heads.check(), Ok(()), "member {i}");
-            for (w, renew) in round.iter().flat_map(|(r, all)| (0..all.len()).map(|w| (w, *r))) {
-                if to >> w & 1 == 1 {
-                    self.renewed(i, w, renew);
+            let Some(m) = self.members[i].as_mut().filter(|m| m.stalled_until <= beats) else { continue };
+            let (round, send_mask) = (m.lease_count.start_round(now), m.links.0);
+            assert_eq!(m.lease_count.check(), Ok(()), "member {i}");
+            for (w, request) in round.iter().flat_map(|(r, all)| (0..all.len()).map(|w| (w, *r))) {
+                if send_mask >> w & 1 == 1 {
+                    self.deliver_request(i, w, request);
                 } else {
-                    self.hold_back(Message::Renew(w, renew));
+                    self.delay(Message::Request(w, request));
                 }
             }
         }
         let fronts = self.members.iter().enumerate().filter_map(|(i, m)| Some((i, m.as_ref()?)));
-        let parts: Vec<_> =
-            fronts.filter_map(|(i, m)| m.heads.fleet_size()?.valid_at(self.clock(i))).collect();
-        let sum: f64 = parts.iter().map(|n| 1.0 / *n as f64).sum();
-        assert!(sum <= 1.0 + 1e-9, "parts over {parts:?} sum to {sum}");
-        self.in_force += parts.len();
+        let bounds: Vec<_> =
+            fronts.filter_map(|(i, m)| m.lease_count.fleet_size()?.valid_at(self.clock(i))).collect();
+        let sum: f64 = bounds.iter().map(|n| 1.0 / *n as f64).sum();
+        assert!(sum <= 1.0 + 1e-9, "shares of bounds {bounds:?} sum to {sum}");
+        self.valid_bounds += bounds.len();
     }
 
-    fn happens(&mut self, happens: Happens) {
-        match happens {
-            Happens::Passes(beats) => (0..beats).for_each(|_| self.beat()),
-            Happens::Wires(i, to, back) => {
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::Beats(beats) => (0..beats).for_each(|_| self.beat()),
+            Step::SetLinks(i, send, receive) => {
                 if let Some(m) = self.members[i].as_mut() {
-                    m.wires = (to, back);
+                    m.links = (send, receive);
                 }
             }
-            Happens::Stalls(i, beats) => {
+            Step::Stalls(i, beats) => {
                 let until = self.beats + beats;
                 if let Some(m) = self.members[i].as_mut() {
-                    m.wakes = until;
+                    m.stalled_until = until;
                 }
             }
-            Happens::Dies(i) => self.members[i] = None,
-            Happens::Starts(i) => self.start(i),
-            Happens::Forgets(w) if w < self.given.witnesses => {
+            Step::Crashes(i) => self.members[i] = None,
+            Step::Starts(i) => self.start(i),
+            Step::WitnessRestarts(w) if w < self.params.witnesses => {
                 let now = self.clock(MEMBERS + w);
-                self.witnesses[w] = Witness::new(now, address(w), LeaseCount::hold(LEASE));
+                self.witnesses[w] = Witness::new(now, address(w), LeaseCount::hold_time(LEASE));
             }
-            Happens::Forgets(_) => {}
-            Happens::Comes(n, again) => {
-                if self.late.is_empty() {
+            Step::WitnessRestarts(_) => {}
+            Step::DeliversDelayed(n, duplicate) => {
+                if self.delayed.is_empty() {
                     return;
                 }
-                let message = self.late.swap_remove(n % self.late.len());
+                let message = self.delayed.swap_remove(n % self.delayed.len());
                 match &message {
-                    Message::Renew(w, renew) => {
-                        let i = usize::from(renew.reply.port()) - 7_100;
-                        self.renewed(i, *w, *renew);
+                    Message::Request(w, request) => {
+                        let i = usize::from(request.reply_to.port()) - 7_100;
+                        self.deliver_request(i, *w, *request);
                     }
-                    Message::Counted(i, counted) => self.counted(*i, *counted),
+                    Message::Response(i, response) => self.deliver_response(*i, *response),
                 }
-                if again {
-                    self.hold_back(message);
+                if duplicate {
+                    self.delay(message);
                 }
             }
         }
@@ -204,27 +211,29 @@
 struct Leases;
 
 impl StateMachineTest for Leases {
-    type SystemUnderTest = World;
-    type Reference = Given;
+    type SystemUnderTest = Fleet;
+    type Reference = Params;
 
-    fn init_test(given: &Given) -> World {
-        let hold = LeaseCount::hold(LEASE);
-        let mut world = World {
-            given: given.clone(),
+    fn init_test(params: &Params) -> Fleet {
+        let hold_time = LeaseCount::hold_time(LEASE);
+        let mut fleet = Fleet {
+            params: params.clone(),
             beats: 0,
-            lives: 0,
+            starts: 0,
             members: (0..MEMBERS).map(|_| None).collect(),
-            witnesses: (0..given.witnesses).map(|w| Witness::new(Duration::ZERO, address(w), hold)).collect(),
-            late: Vec::new(),
-            in_force: 0,
+            witnesses: (0..params.witnesses)
+                .map(|w| Witness::new(Duration::ZERO, address(w), hold_time))
+                .collect(),
+            delayed: Vec::new(),
+            valid_bounds: 0,
         };
-        (0..3).for_each(|i| world.start(i));
-        world
+        (0..3).for_each(|i| fleet.start(i));
+        fleet
     }
 
-    fn apply(mut world: World, _: &Given, happens: Happens) -> World {
-        world.happens(happens);
-        world
+    fn apply(mut fleet: Fleet, _: &Params, step: Step) -> Fleet {
+        fleet.apply(step);
+        fleet
     }
 }
 
@@ -237,5 +246,5 @@
     })]
 
     #[test]
-    fn parts_in_force_sum_to_one_at_the_most_whatever_happens(sequential 1..120 => Leases);
+    fn shares_sum_to_at_most_one(sequential 1..120 => Leases);
 }
--- a/crates/members/tests/net/mod.rs
+++ b/crates/members/tests/sim/mod.rs
@@ -1,10 +1,11 @@
-//! Many members over a network in virtual time: loss, delay, cuts, stalls, deaths. The same seed plays the same day.
+//! Simulation of many members over a network in virtual time, with loss, delay, partitions, stalls and crashes. Equal
+//! seeds give equal runs.
 #![allow(dead_code)] // each test binary uses a part of it
 
-mod looks;
+mod observe;
 
 #[allow(unused_imports)] // as above
-pub use looks::settled;
+pub use observe::settled;
 
 use cloverhollow_members::*;
 use rand::{RngExt, SeedableRng};
@@ -25,38 +26,40 @@
     Key { id, secret: vec![id as u8; 32] }
 }
 
-pub struct Net {
+pub struct Simulation {
     pub now: Duration,
+    /// Members by index; `None` if not running.
     pub members: Vec<Option<Member>>,
-    /// Whether a datagram from one to another is lost for sure, beside `loss`.
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
-    pub loss: f64,
+    /// Returns whether all datagrams from one member to another are lost, in addition to `loss_rate`.
+    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    pub loss_rate: f64,
     pub delay: Duration,
-    /// The part of datagrams that comes twice, and the part that comes up to three seconds late.
-    pub double: f64,
-    pub late: f64,
-    /// Members that stand still until then: what comes for them waits, 256 datagrams at most.
-    pub stopped: BTreeMap<usize, Duration>,
-    pub notices: Vec<(usize, MemberEvent)>,
-    /// Steps of members, each looked at.
+    /// Fraction of datagrams that are delivered twice.
+    pub duplicate_rate: f64,
+    /// Fraction of datagrams that are up to three seconds late.
+    pub late_rate: f64,
+    /// Stalled members, each until a time. Datagrams for them are delivered then.
+    pub stalled_until: BTreeMap<usize, Duration>,
+    pub events: Vec<(usize, MemberEvent)>,
+    /// Number of steps of members, after each of which the invariants were checked.
     pub steps: u64,
     queue: BTreeMap<(Duration, u64), (usize, Vec<u8>)>,
     sent: u64,
     rng: ChaCha8Rng,
-    pub settings: MemberConfig,
-    /// Unix time at the start of the day, ms.
-    pub wall: u64,
-    /// When some last asked others for all that they hold; `None`: nobody does.
-    pub synced: Option<Duration>,
+    pub config: MemberConfig,
+    /// Unix time at time zero, in milliseconds.
+    pub wall_start_ms: u64,
+    /// Time of the last exchange of membership records. `None`: records are never exchanged.
+    pub last_sync: Option<Duration>,
 }
 
-/// Time between two rounds of that.
-const SYNC: Duration = Duration::from_secs(1);
+/// Interval between exchanges of membership records.
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-impl Net {
-    /// `n` members in three halls, the first five of them seeds and the first three witnesses, none started.
-    pub fn new(n: usize, seed: u64) -> Net {
-        let me = MemberId {
+impl Simulation {
+    /// Creates `n` members in three zones, none of them started. The first five are seeds, the first three witnesses.
+    pub fn new(n: usize, seed: u64) -> Simulation {
+        let local_id = MemberId {
             address: address(0),
             side_address: None,
             name: "".into(),
@@ -64,63 +67,63 @@
             incarnation: Incarnation { number: 0, token: 0 },
         };
         let swim = SwimConfig { seeds: (0..5).map(address).collect(), ..SwimConfig::default() };
-        let settings = MemberConfig {
-            local_id: me,
+        let config = MemberConfig {
+            local_id,
             keys: vec![key(1)],
             swim,
             lease_duration: ms(4_000),
             witnesses: (0..3).map(address).collect(),
             seed: 0,
         };
-        Net {
+        Simulation {
             now: Duration::from_secs(86_400),
             members: (0..n).map(|_| None).collect(),
-            cut: Box::new(|_, _| false),
-            loss: 0.0,
+            is_cut: Box::new(|_, _| false),
+            loss_rate: 0.0,
             delay: ms(2),
-            double: 0.0,
-            late: 0.0,
-            stopped: BTreeMap::new(),
-            notices: Vec::new(),
+            duplicate_rate: 0.0,
+            late_rate: 0.0,
+            stalled_until: BTreeMap::new(),
+            events: Vec::new(),
             steps: 0,
             queue: BTreeMap::new(),
             sent: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            settings,
-            wall: 1_000_000,
-            synced: None,
+            config,
+            wall_start_ms: 1_000_000,
+            last_sync: None,
         }
     }
 
-    pub fn wall(&self) -> u64 {
-        self.wall + self.now.as_millis() as u64
+    pub fn wall_ms(&self) -> u64 {
+        self.wall_start_ms + self.now.as_millis() as u64
     }
 
-    /// Starts a member whose clock is off by that many ms.
-    pub fn start_at(&mut self, i: usize, name: &str, off: i64) {
-        let mut set = self.settings.clone();
-        let number = self.wall().saturating_add_signed(off);
-        set.local_id = MemberId {
+    /// Starts a member with a name, whose wall clock is off by `offset_ms`.
+    pub fn start_named(&mut self, i: usize, name: &str, offset_ms: i64) {
+        let mut config = self.config.clone();
+        let number = self.wall_ms().saturating_add_signed(offset_ms);
+        config.local_id = MemberId {
             address: address(i),
             side_address: None,
             name: name.into(),
             zone: format!("hal-{}", i % 3).as_str().into(),
             incarnation: Incarnation { number, token: self.rng.random() },
         };
-        set.seed = self.rng.random();
-        self.members[i] = Some(Member::new(self.now, set));
+        config.seed = self.rng.random();
+        self.members[i] = Some(Member::new(self.now, config));
     }
 
     pub fn start(&mut self, i: usize) {
-        self.start_at(i, &format!("front-{i}"), 0);
+        self.start_named(i, &format!("front-{i}"), 0);
     }
 
     pub fn start_all(&mut self) {
         (0..self.members.len()).for_each(|i| self.start(i));
     }
 
-    /// Something that was not sent by a member.
-    pub fn throw(&mut self, to: usize, bytes: Vec<u8>) {
+    /// Sends a datagram that no member sent.
+    pub fn inject(&mut self, to: usize, bytes: Vec<u8>) {
         self.sent += 1;
         self.queue.insert((self.now + self.delay, self.sent), (to, bytes));
     }
@@ -131,26 +134,27 @@
         Some(usize::from(hi) * 250 + usize::from(lo) - 1)
     }
 
-    /// A member that has taken a step.
-    fn looked_at(&mut self, i: usize) {
+    /// Checks the invariants of a member after a step.
+    fn check_invariants(&mut self, i: usize) {
         self.steps += 1;
-        let broken = self.members[i].as_ref().and_then(|m| m.check().err());
-        assert_eq!(broken, None, "member {i} at {:?}", self.now);
+        let violation = self.members[i].as_ref().and_then(|m| m.check().err());
+        assert_eq!(violation, None, "member {i} at {:?}", self.now);
     }
 
+    /// Puts the datagrams of a member on the network.
     fn flush(&mut self, i: usize) {
         let Some(m) = self.members[i].as_mut() else { return };
-        let (out, notices) = (m.take_datagrams(), m.take_events());
-        self.notices.extend(notices.into_iter().map(|n| (i, n)));
-        for OutgoingDatagram { to, bytes } in out {
+        let (datagrams, events) = (m.take_datagrams(), m.take_events());
+        self.events.extend(events.into_iter().map(|e| (i, e)));
+        for OutgoingDatagram { to, bytes } in datagrams {
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
-            let Some(to) = Net::index(to) else { continue };
-            if (self.cut)(i, to) || self.rng.random_bool(self.loss) {
+            let Some(to) = Simulation::index(to) else { continue };
+            if (self.is_cut)(i, to) || self.rng.random_bool(self.loss_rate) {
                 continue;
             }
-            let twice = self.double > 0.0 && self.rng.random_bool(self.double);
+            let twice = self.duplicate_rate > 0.0 && self.rng.random_bool(self.duplicate_rate);
             for bytes in [Some(bytes.clone()), twice.then_some(bytes)].into_iter().flatten() {
-                let late = self.late > 0.0 && self.rng.random_bool(self.late);
+                let late = self.late_rate > 0.0 && self.rng.random_bool(self.late_rate);
                 let late = if late { ms(self.rng.random_range(0..3_000)) } else { Duration::ZERO };
                 let jitter = self.delay.mul_f64(self.rng.random::<f64>());
                 self.sent += 1;
@@ -159,17 +163,17 @@
         }
     }
 
-    fn awake(&self, i: usize) -> Duration {
-        self.stopped.get(&i).copied().unwrap_or_default()
+    fn resumes_at(&self, i: usize) -> Duration {
+        self.stalled_until.get(&i).copied().unwrap_or_default()
     }
 
     fn due(&self, i: usize) -> Option<Duration> {
-        Some(self.members[i].as_ref()?.next_due().max(self.awake(i)))
+        Some(self.members[i].as_ref()?.next_due().max(self.resumes_at(i)))
     }
 
-    /// Plays on until then.
-    pub fn until(&mut self, end: Duration) {
-        // Whoever is due first, and the first of those of one instant.
+    /// Runs until a time.
+    pub fn run_until(&mut self, end: Duration) {
+        // Members by due time, and by index where due times are equal.
         let mut due_at: Vec<_> = (0..self.members.len()).map(|i| self.due(i)).collect();
         let mut dues: BTreeSet<_> =
             due_at.iter().enumerate().filter_map(|(i, at)| Some(((*at)?, i))).collect();
@@ -184,10 +188,10 @@
             self.now = self.now.max(next);
             let stepped = if datagram.is_some_and(|at| at <= self.now) {
                 let Some((_, (to, bytes))) = self.queue.pop_first() else { continue };
-                let awake = self.awake(to);
-                if awake > self.now {
+                let resumes_at = self.resumes_at(to);
+                if resumes_at > self.now {
                     self.sent += 1;
-                    self.queue.insert((awake, self.sent), (to, bytes));
+                    self.queue.insert((resumes_at, self.sent), (to, bytes));
                     continue;
                 }
                 let Some(m) = self.members.get_mut(to).and_then(Option::as_mut) else { continue };
@@ -199,7 +203,7 @@
                 m.tick(self.now);
                 i
             };
-            self.looked_at(stepped);
+            self.check_invariants(stepped);
             self.flush(stepped);
             due_at[stepped].map(|at| dues.remove(&(at, stepped)));
             due_at[stepped] = self.due(stepped);
@@ -209,25 +213,26 @@
 
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        while self.synced.is_some_and(|t| t + SYNC <= end) {
-            let next = self.synced.unwrap_or_default() + SYNC;
-            self.until(next);
-            self.synced = Some(next);
+        while self.last_sync.is_some_and(|t| t + SYNC_INTERVAL <= end) {
+            let next = self.last_sync.unwrap_or_default() + SYNC_INTERVAL;
+            self.run_until(next);
+            self.last_sync = Some(next);
             self.sync();
         }
-        self.until(end);
+        self.run_until(end);
     }
 
-    /// A tenth of the members each ask one for all that it holds: each does so every ten seconds.
+    /// Merges records between random pairs of members. A tenth of the members do so in each round, so each member does
+    /// every ten seconds on average.
     fn sync(&mut self) {
         let n = self.members.len();
         for _ in 0..n.div_ceil(10) {
-            let (by, of) = (self.rng.random_range(0..n), self.rng.random_range(0..n));
-            let records = self.members[of].as_mut().and_then(|m| m.records(7));
-            if let (Some(records), Some(m)) = (records, self.members[by].as_mut().filter(|_| by != of)) {
+            let (to, from) = (self.rng.random_range(0..n), self.rng.random_range(0..n));
+            let records = self.members[from].as_mut().and_then(|m| m.records(7));
+            if let (Some(records), Some(m)) = (records, self.members[to].as_mut().filter(|_| to != from)) {
                 let _ = m.sync(self.now, 7, &records);
-                self.looked_at(by);
-                self.flush(by);
+                self.check_invariants(to);
+                self.flush(to);
             }
         }
     }
--- a/crates/record/src/forms.rs
+++ b/crates/record/src/forms.rs
@@ -1,4 +1,4 @@
-//! The module's vocabulary as serde sees it. The interface itself stays free of any format.
+//! Serialization of the policy's types, mirrored here so that the policy itself needs no serialization format.
 
 use cloverhollow::{
     Action, AttemptOutcome, Event, ListEntry, ListMode, LoadReport, PeerReport, RecoveredHistory, RequestId,
@@ -183,7 +183,7 @@
         #[derive(Serialize, Deserialize)]
         struct $one(#[serde(with = $form_text)] $of);
 
-        /// A slice, to be written.
+        /// Slice to be serialized.
         pub(crate) struct $refs<'a>(pub(crate) &'a [$of]);
 
         impl Serialize for $refs<'_> {
@@ -198,7 +198,7 @@
             }
         }
 
-        /// A list, read back.
+        /// Serialization of a list, for `#[serde(with)]`.
         pub(crate) struct $owned;
 
         impl $owned {
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -1,4 +1,4 @@
-//! Writing a record beside a running front.
+//! Recorder, which writes in a thread of its own while the front runs.
 
 use crate::forms::{ActionsRef, EventsRef};
 use crate::Header;
@@ -9,10 +9,10 @@
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::time::{Duration, SystemTime};
 
-/// Most steps that wait to be written. Past them the record ends, as one with a gap could not be replayed:
-/// the desk is never held up.
+/// Maximum number of steps that wait to be written. Beyond it the recording ends, since one with a gap could not be
+/// replayed; the event loop never waits for the writer.
 pub const MAX_QUEUED_STEPS: usize = 8_192;
-/// Most bytes of one file; past them the record ends.
+/// Maximum length of a file in bytes. Beyond it the recording ends.
 pub const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024 * 1024;
 
 #[derive(Serialize)]
@@ -22,31 +22,31 @@
     actions: ActionsRef<'a>,
 }
 
-/// A record being written, by a thread of its own.
+/// Recording in progress.
 pub struct Recorder {
     queue: Option<SyncSender<Vec<u8>>>,
     writer: Option<std::thread::JoinHandle<()>>,
-    /// The file.
+    /// Path of the file.
     pub path: PathBuf,
 }
 
 impl Recorder {
-    /// Begins a file in `dir`, which is made where it is missing.
+    /// Creates a file in `dir`. Creates the directory if it does not exist.
     ///
     /// # Errors
-    /// The folder or file cannot be made.
+    /// The directory or file cannot be created.
     pub fn create(dir: &Path, name: &str, settings: String, seed: u64) -> std::io::Result<Recorder> {
         std::fs::create_dir_all(dir)?;
-        let at = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_millis();
-        let path = dir.join(format!("{name}-{at}.rec"));
+        let unix_ms = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_millis();
+        let path = dir.join(format!("{name}-{unix_ms}.rec"));
         let file = std::fs::File::create_new(&path)?;
-        let head = postcard::to_stdvec(&Header::new(settings, seed)).map_err(std::io::Error::other)?;
+        let header = postcard::to_stdvec(&Header::new(settings, seed)).map_err(std::io::Error::other)?;
         let (tx, rx) = sync_channel(MAX_QUEUED_STEPS);
-        let writer = Some(std::thread::spawn(move || write(file, head, &rx)));
+        let writer = Some(std::thread::spawn(move || write(file, header, &rx)));
         Ok(Recorder { queue: Some(tx), writer, path })
     }
 
-    /// Ends the record once all steps are written.
+    /// Ends the recording, and waits until all queued steps are written.
     pub fn finish(mut self) {
         self.queue = None;
         if let Some(writer) = self.writer.take() {
@@ -54,39 +54,39 @@
         }
     }
 
-    /// Keeps a step. Returns whether the record still goes on; it ends for good when its writer is behind.
+    /// Queues a step. Returns false if the recording has ended, as it does for good when the queue is full.
     pub fn record_step(&mut self, now: Duration, events: &[Event], actions: &[Action]) -> bool {
         let Some(queue) = &self.queue else { return false };
         let step = StepRef { now, events: EventsRef(events), actions: ActionsRef(actions) };
-        let kept = postcard::to_stdvec(&step).is_ok_and(|body| queue.try_send(body).is_ok());
-        if !kept {
+        let queued = postcard::to_stdvec(&step).is_ok_and(|body| queue.try_send(body).is_ok());
+        if !queued {
             self.queue = None;
         }
-        kept
+        queued
     }
 }
 
-fn write(file: std::fs::File, head: Vec<u8>, queue: &Receiver<Vec<u8>>) {
+fn write(file: std::fs::File, header: Vec<u8>, queue: &Receiver<Vec<u8>>) {
     let mut out = BufWriter::new(file);
     let mut written = 0;
-    let mut put = |body: &[u8], last: bool| -> std::io::Result<()> {
+    let mut write_frame = |body: &[u8], flush: bool| -> std::io::Result<()> {
         out.write_all(&(body.len() as u32).to_le_bytes())?;
         out.write_all(&crc32fast::hash(body).to_le_bytes())?;
         out.write_all(body)?;
         written += body.len() as u64;
-        // A killed front keeps all but the steps of its last moment.
-        if last {
+        // Flushed whenever the queue is empty, so a kill loses only the latest steps.
+        if flush {
             out.flush()?;
         }
         Ok(())
     };
-    let mut next = Some(head);
+    let mut next = Some(header);
     let mut total = 0;
     while let Some(body) = next.or_else(|| queue.recv().ok()) {
         let following = queue.try_recv().ok();
         total += body.len() as u64 + 8;
-        if total > MAX_FILE_BYTES || put(&body, following.is_none()).is_err() {
-            return; // the queue's other end sees it and stops
+        if total > MAX_FILE_BYTES || write_frame(&body, following.is_none()).is_err() {
+            return; // the sender notices the closed queue and stops
         }
         next = following;
     }
--- a/crates/record/tests/record.rs
+++ b/crates/record/tests/record.rs
@@ -1,4 +1,4 @@
-//! Records: written beside a module, run again, cut, garbled and foreign.
+//! Recordings of a policy are replayed, and truncated, corrupt and foreign files are detected.
 
 use cloverhollow::*;
 use cloverhollow_record::{replay, RecordError, Recorder};
@@ -12,11 +12,11 @@
     dir
 }
 
-/// A short day of the module, recorded; `lie` changes one recorded action.
-fn recorded(name: &str, lie: bool) -> PathBuf {
+/// Records 200 steps of a policy. With `falsify`, one recorded action is changed.
+fn recorded(name: &str, falsify: bool) -> PathBuf {
     let text = "instance: {fronts: 2}";
     let settings = FrontSettings::parse("s.yaml", text).unwrap();
-    let mut brain = SessionPolicy::new(settings.decisions(), 42);
+    let mut policy = SessionPolicy::new(settings.decisions(), 42);
     let mut recorder = Recorder::create(&dir(name), "front-1", text.into(), 42).unwrap();
     let entry = |server| ListEntry {
         server,
@@ -26,13 +26,13 @@
     };
     for i in 0..200u64 {
         let now = Duration::from_secs(1000) + Duration::from_millis(i * 50);
-        let call = SessionRequest {
+        let request = SessionRequest {
             id: i,
             max_rung: 3,
             deadline: now + Duration::from_secs(3),
             ..SessionRequest::default()
         };
-        let mut events = vec![Event::Request(call)];
+        let mut events = vec![Event::Request(request)];
         if i == 0 {
             events.insert(0, Event::ListUpdate(ListMode::Full, (1..6).map(entry).collect()));
         }
@@ -49,8 +49,8 @@
             events.push(Event::ViewerLeft(i - 2));
             events.push(Event::Timer(1));
         }
-        let mut actions = brain.step(now, &events);
-        if lie && i == 77 {
+        let mut actions = policy.step(now, &events);
+        if falsify && i == 77 {
             actions.push(Action::Fail(5));
         }
         assert!(recorder.record_step(now, &events, &actions));
@@ -61,30 +61,30 @@
 }
 
 #[test]
-fn a_record_replays_to_the_same_actions() {
-    let found = replay(&recorded("same", false)).unwrap();
-    assert_eq!((found.steps, found.truncated, found.difference), (200, false, None));
-    assert!(found.events > 900 && found.actions > 200, "{} {}", found.events, found.actions);
+fn a_recording_replays_to_the_same_actions() {
+    let report = replay(&recorded("same", false)).unwrap();
+    assert_eq!((report.steps, report.truncated, report.difference), (200, false, None));
+    assert!(report.events > 900 && report.actions > 200, "{} {}", report.events, report.actions);
 }
 
 #[test]
-fn a_changed_action_is_found_at_its_step() {
-    let found = replay(&recorded("lie", true)).unwrap();
-    assert_eq!(found.difference.unwrap().step, 78);
+fn a_changed_action_is_reported_at_its_step() {
+    let report = replay(&recorded("lie", true)).unwrap();
+    assert_eq!(report.difference.unwrap().step, 78);
 }
 
 #[test]
-fn a_cut_file_is_read_to_its_last_whole_step_and_a_garbled_one_refused() {
+fn a_truncated_file_is_read_to_its_last_complete_step_and_a_corrupt_one_is_an_error() {
     let path = recorded("cut", false);
     let bytes = std::fs::read(&path).unwrap();
     std::fs::write(&path, &bytes[..bytes.len() - 3]).unwrap();
-    let found = replay(&path).unwrap();
-    assert_eq!((found.steps, found.truncated), (199, true));
-    let mut bad = bytes.clone();
-    let at = bytes.len() - 1; // in the last body; in a length it would look like a cut
-    bad[at] ^= 0x40;
-    std::fs::write(&path, &bad).unwrap();
-    assert!(matches!(replay(&path), Err(RecordError::CorruptFrame { .. })), "a flipped bit is seen");
+    let report = replay(&path).unwrap();
+    assert_eq!((report.steps, report.truncated), (199, true));
+    let mut corrupt = bytes.clone();
+    let offset = bytes.len() - 1; // in the last body; a changed length would look like a truncated file
+    corrupt[offset] ^= 0x40;
+    std::fs::write(&path, &corrupt).unwrap();
+    assert!(matches!(replay(&path), Err(RecordError::CorruptFrame { .. })), "a flipped bit was not detected");
     std::fs::write(&path, b"something else entirely").unwrap();
     assert!(replay(&path).is_err());
     std::fs::write(&path, b"").unwrap();
--- a/crates/recovery/src/backoff.rs
+++ b/crates/recovery/src/backoff.rs
@@ -1,48 +1,48 @@
-//! How long a front that dies again and again waits before it takes viewers.
+//! Delay before a front that crashes repeatedly accepts viewers.
 
-use crate::ledger::Ledger;
+use crate::ledger::{IncarnationRecord, Ledger};
 use crate::log_record::{BootId, Timestamp};
 use std::time::Duration;
 
-/// The figures of the wait, from the settings.
+/// Parameters of the delay.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartBackoff {
-    /// Deaths are counted over this.
+    /// Time span over which crashes are counted.
     pub window: Duration,
-    /// So many of them cost nothing.
+    /// Number of crashes within the window that cause no delay.
     pub free_crashes: usize,
-    /// The wait after the next one, doubled for each further...
+    /// Delay after the first crash beyond `free_crashes`, doubled for each further one.
     pub initial_delay: Duration,
-    /// ...up to this.
+    /// Upper bound of the delay.
     pub max_delay: Duration,
 }
 
-/// What follows from the deaths.
+/// Delay of a start, and the crashes that cause it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartDelay {
-    /// Lives of this boot within the window that did not end in order.
+    /// Number of incarnations of this boot within the window that did not shut down cleanly.
     pub crashes: usize,
-    /// So long no viewer is taken.
+    /// Time for which no viewer is accepted.
     pub delay: Duration,
 }
 
 impl RestartBackoff {
-    /// The wait of a life that begins now, by the lives before it.
+    /// Returns the delay of an incarnation that starts at `now`.
     ///
-    /// Guards the fleet against a front that crashes on what it is sent: each of its lives breaks the sessions
-    /// that it took. May hurt: a machine whose fronts are killed for other reasons is slow to serve again.
+    /// Protects the fleet from a front that crashes on the requests it receives, since each incarnation breaks the
+    /// sessions that it accepted. The cost: a front that is killed for other reasons is slow to serve again.
     pub fn start_delay(&self, ledger: &Ledger, boot: BootId, now: Timestamp) -> StartDelay {
-        let died = |s: &&crate::ledger::IncarnationRecord| {
-            !s.clean_shutdown && s.boot == boot && s.started_at.age(now) <= self.window
+        let crashed = |i: &&IncarnationRecord| {
+            !i.clean_shutdown && i.boot == boot && i.started_at.age(now) <= self.window
         };
-        let deaths = ledger.incarnations().filter(died).count();
-        let hold = match deaths.checked_sub(self.free_crashes + 1) {
+        let crashes = ledger.incarnations().filter(crashed).count();
+        let delay = match crashes.checked_sub(self.free_crashes + 1) {
             None => Duration::ZERO,
             Some(more) => self
                 .initial_delay
                 .saturating_mul(2u32.saturating_pow(more.min(31) as u32))
                 .min(self.max_delay),
         };
-        StartDelay { crashes: deaths, delay: hold }
+        StartDelay { crashes, delay }
     }
 }
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -1,22 +1,22 @@
-//! What the deeds of all lives add up to.
+//! State that the records of all incarnations add up to.
 
 use crate::log_record::{session_digest, BootId, LogRecord, Timestamp};
 use crate::paid::PaidSessions;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How much a ledger holds at most; past each the oldest goes first.
+/// Maximum sizes of a ledger's parts. Sequences drop their oldest entries; full sets of servers accept no new ones.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerLimits {
-    /// PaidSessions sessions.
+    /// Maximum number of paid sessions.
     pub paid_sessions: usize,
-    /// Further attempts. Past them the ledger no longer knows as far back as it did, and says so.
+    /// Maximum number of retries. Dropping one moves [`Ledger::retries_complete_since`] forward.
     pub retries: usize,
-    /// Servers that take no new work, and servers that failed.
+    /// Maximum number of servers that accept no new sessions, and of servers that failed.
     pub servers: usize,
-    /// Sessions that a server may still hold.
+    /// Maximum number of sessions that servers may still hold.
     pub unreleased: usize,
-    /// Starts.
+    /// Maximum number of incarnations.
     pub incarnations: usize,
 }
 
@@ -32,38 +32,38 @@
     }
 }
 
-/// A life's beginning.
+/// Start and end of one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRecord {
-    /// When.
+    /// Time of the start.
     #[serde(rename = "at")]
     pub started_at: Timestamp,
-    /// In which boot.
+    /// Boot of the machine.
     pub boot: BootId,
-    /// Whether it ended in order.
+    /// True if the incarnation shut down cleanly.
     #[serde(rename = "ended")]
     pub clean_shutdown: bool,
 }
 
-/// A session that a server may hold for a front that is dead.
+/// Session that a server may hold for an incarnation that has crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreleasedSession {
-    /// The session.
+    /// Session id.
     pub sid: String,
-    /// The server.
+    /// Server id.
     pub server: u64,
 }
 
-/// The state that deeds add up to. [`Ledger::apply`] is all that changes it.
+/// State of the log, changed only by applying records and by [`Ledger::forget_retries`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// PaidSessions sessions that may have run, the oldest first.
+    /// Paid sessions that may have been executed, oldest first.
     #[serde(rename = "paid")]
     paid_sessions: PaidSessions,
-    /// Further attempts of this boot, the oldest first.
+    /// Times of the retries in this boot, oldest first.
     #[serde(rename = "further")]
     retries: VecDeque<Timestamp>,
-    /// All further attempts after this are in `further`; `None`: all that there ever were.
+    /// Time after which all retries are in `retries`. `None` if no retry was ever dropped.
     #[serde(rename = "known_from")]
     retries_complete_since: Option<Timestamp>,
     stopped: BTreeSet<u64>,
@@ -77,53 +77,53 @@
 }
 
 impl Ledger {
-    /// A ledger that does not know what was before.
-    pub fn unknown_before(now: Timestamp) -> Self {
+    /// Creates a ledger that knows nothing of the time before `now`.
+    pub fn with_unknown_history(now: Timestamp) -> Self {
         Ledger { retries_complete_since: Some(now), ..Ledger::default() }
     }
 
-    /// Takes one deed in.
-    pub fn apply(&mut self, at: Timestamp, deed: &LogRecord, bounds: &LedgerLimits) {
+    /// Applies one record.
+    pub fn apply(&mut self, at: Timestamp, record: &LogRecord, limits: &LedgerLimits) {
         self.last_record_at = self.last_record_at.max(Some(at));
-        match deed {
+        match record {
             LogRecord::IncarnationStarted { boot } => {
-                if self.incarnations.back().is_some_and(|s| s.boot != *boot) {
-                    // Times of another boot say nothing in this one.
+                if self.incarnations.back().is_some_and(|i| i.boot != *boot) {
+                    // Times of another boot cannot be compared with those of this one.
                     self.retries.clear();
                     self.retries_complete_since = Some(at);
                     self.last_record_at = Some(at);
                 }
                 self.unreleased.clear();
-                push(
+                push_bounded(
                     &mut self.incarnations,
                     IncarnationRecord { started_at: at, boot: *boot, clean_shutdown: false },
-                    bounds.incarnations,
+                    limits.incarnations,
                 );
             }
-            LogRecord::AttemptStarted { sid, server, paid, is_retry: further } => {
+            LogRecord::AttemptStarted { sid, server, paid, is_retry } => {
                 if *paid {
-                    self.paid_sessions.insert(session_digest(sid), bounds.paid_sessions);
-                    push(
+                    self.paid_sessions.insert(session_digest(sid), limits.paid_sessions);
+                    push_bounded(
                         &mut self.unreleased,
                         UnreleasedSession { sid: sid.clone(), server: *server },
-                        bounds.unreleased,
+                        limits.unreleased,
                     );
                 }
-                if *further {
-                    if let Some(lost) = push(&mut self.retries, at, bounds.retries) {
-                        self.retries_complete_since = self.retries_complete_since.max(Some(lost));
+                if *is_retry {
+                    if let Some(dropped) = push_bounded(&mut self.retries, at, limits.retries) {
+                        self.retries_complete_since = self.retries_complete_since.max(Some(dropped));
                     }
                 }
             }
             LogRecord::AttemptNotExecuted { sid } => {
                 self.paid_sessions.remove(*sid);
-                self.unreleased.retain(|h| session_digest(&h.sid) != *sid);
+                self.unreleased.retain(|session| session_digest(&session.sid) != *sid);
             }
             LogRecord::ServerListed { server, accepts_sessions: true } => {
                 self.stopped.remove(server);
             }
             LogRecord::ServerListed { server, accepts_sessions: false } => {
-                if self.stopped.len() < bounds.servers {
+                if self.stopped.len() < limits.servers {
                     self.stopped.insert(*server);
                 }
             }
@@ -131,22 +131,22 @@
                 self.failed.remove(server);
             }
             LogRecord::ServerFailure { server, failed: true } => {
-                if self.failed.len() < bounds.servers {
+                if self.failed.len() < limits.servers {
                     self.failed.insert(*server);
                 }
             }
             LogRecord::CleanShutdown => {
                 self.unreleased.clear();
-                if let Some(start) = self.incarnations.back_mut() {
-                    start.clean_shutdown = true;
+                if let Some(incarnation) = self.incarnations.back_mut() {
+                    incarnation.clean_shutdown = true;
                 }
             }
-            LogRecord::Snapshot(all) => *self = (**all).clone(),
+            LogRecord::Snapshot(ledger) => *self = (**ledger).clone(),
         }
     }
 
-    /// Forgets further attempts that are older than `span`: what is older than any ration's span counts no
-    /// more. A later life with a longer span is told that they are not known.
+    /// Drops retries older than `span`, the span of the retry budget. An incarnation with a longer span sees from
+    /// [`Ledger::retries_complete_since`] that they are missing.
     pub fn forget_retries(&mut self, now: Timestamp, span: std::time::Duration) {
         while let Some(at) = self.retries.front().copied().filter(|at| at.age(now) > span) {
             self.retries.pop_front();
@@ -154,52 +154,52 @@
         }
     }
 
-    /// PaidSessions sessions that may have run, the oldest first.
+    /// Paid sessions that may have been executed, oldest first.
     pub fn paid_sessions(&self) -> &PaidSessions {
         &self.paid_sessions
     }
 
-    /// Further attempts, the oldest first.
+    /// Times of the retries in this boot, oldest first.
     pub fn retries(&self) -> impl Iterator<Item = Timestamp> + '_ {
         self.retries.iter().copied()
     }
 
-    /// Since when those are all; `None`: for ever.
+    /// Time after which [`Ledger::retries`] is complete. `None` if no retry was ever dropped.
     pub fn retries_complete_since(&self) -> Option<Timestamp> {
         self.retries_complete_since
     }
 
-    /// Servers that this front was told take no new work.
+    /// Servers that accept no new sessions according to the server list.
     pub fn stopped(&self) -> &BTreeSet<u64> {
         &self.stopped
     }
 
-    /// Servers that failed, and did not work since.
+    /// Servers that failed and have not succeeded since.
     pub fn failed(&self) -> &BTreeSet<u64> {
         &self.failed
     }
 
-    /// PaidSessions sessions that servers may hold for this front's last life.
+    /// Paid sessions that servers may hold for the last incarnation.
     pub fn unreleased(&self) -> impl Iterator<Item = &UnreleasedSession> {
         self.unreleased.iter()
     }
 
-    /// The last lives' beginnings, the oldest first.
+    /// Last incarnations, oldest first.
     pub fn incarnations(&self) -> impl DoubleEndedIterator<Item = &IncarnationRecord> {
         self.incarnations.iter()
     }
 
-    /// When the last deed was taken down.
+    /// Time of the last record.
     pub fn last_record_at(&self) -> Option<Timestamp> {
         self.last_record_at
     }
 }
 
-/// Puts one in, and gives the oldest where that is one too many.
-fn push<T>(all: &mut VecDeque<T>, one: T, most: usize) -> Option<T> {
-    all.push_back(one);
-    if all.len() > most {
-        all.pop_front()
+/// Appends an entry. If there are more than `max`, removes and returns the oldest.
+fn push_bounded<T>(entries: &mut VecDeque<T>, entry: T, max: usize) -> Option<T> {
+    entries.push_back(entry);
+    if entries.len() > max {
+        entries.pop_front()
     } else {
         None
     }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,12 +1,11 @@
-//! What a front's death must not forget.
+//! Recovery of a front's state after a crash, from a write-ahead log.
 //!
-//! Rules count over spans and over sessions; a process that dies loses what it counted. Here is what a front
-//! takes down before it acts ([`LogRecord`]), how that becomes bytes and back ([`frame`]), the state that the deeds
-//! add up to ([`Ledger`]), what of a file that is found at a start can be believed ([`recover`]), and how long
-//! a front that dies again and again waits before it takes viewers ([`backoff`]).
+//! Some limits hold over time spans or per session, so the counts behind them must survive a restart. A front appends
+//! a [`LogRecord`] before it acts. [`frame`] encodes and decodes the log, the [`Ledger`] is the state that its records
+//! add up to, [`recover`] decides how far a log found at the start is trusted, and [`backoff`] delays the start of a
+//! front that crashes repeatedly.
 //!
-//! No I/O and no clock: bytes and stamps come in as arguments. `docs/recovery.md` goes through the rules one by
-//! one.
+//! There is no I/O and no clock: bytes and timestamps are passed in.
 
 pub mod backoff;
 pub mod frame;
--- a/crates/recovery/src/log_record.rs
+++ b/crates/recovery/src/log_record.rs
@@ -1,92 +1,92 @@
-//! What is taken down, and when.
+//! Records of the write-ahead log.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// The machine's boot: times of two boots are not comparable.
+/// Id of a boot of the machine. Boot times of two boots cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootId(pub u128);
 
-/// When something was taken down, on two clocks.
+/// Time of a log record, on two clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Timestamp {
-    /// Milliseconds since the machine's boot, its suspends included (`CLOCK_BOOTTIME`).
+    /// Milliseconds since the machine's boot, suspends included (`CLOCK_BOOTTIME`).
     pub boot_ms: u64,
-    /// Milliseconds since 1970 by the machine's wall clock, which may be set: only ever compared with the
-    /// file's own time of change.
+    /// Milliseconds since the Unix epoch. The wall clock may be set, so this is compared with the file's change time
+    /// only.
     pub wall_ms: u64,
 }
 
 impl Timestamp {
-    /// How long ago it was, within one boot.
+    /// Age at `now`, which must be of the same boot.
     pub fn age(self, now: Timestamp) -> Duration {
         Duration::from_millis(now.boot_ms.saturating_sub(self.boot_ms))
     }
 }
 
-/// 128 bits that stand for a session's id (SipHash-2-4-128 without a secret key).
+/// 128-bit digest of a session id (SipHash-2-4-128 without a secret key).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionDigest(pub u128);
 
-/// The digest of a session's id.
+/// Returns the digest of a session id.
 pub fn session_digest(sid: &str) -> SessionDigest {
     let mut hasher = SipHasher24::new();
     hasher.write(sid.as_bytes());
     SessionDigest(hasher.finish128().as_u128())
 }
 
-/// One thing that a later life must know of.
+/// Record that later incarnations of the front rely on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// A life begins.
+    /// An incarnation of the front starts.
     #[serde(rename = "Began")]
     IncarnationStarted {
-        /// In which boot.
+        /// Boot of the machine.
         boot: BootId,
     },
-    /// An attempt is about to go out: on the paper before its first byte may be sent.
+    /// A set-up attempt is about to be sent. Written before the first byte of the attempt.
     #[serde(rename = "Out")]
     AttemptStarted {
-        /// The playback session.
+        /// Session id.
         sid: String,
-        /// The server, as the list names it.
+        /// Server id, as in the server list.
         server: u64,
-        /// It may take effect once only (rule 2).
+        /// True for a paid session, which must be executed at most once.
         paid: bool,
-        /// It is not its session's first (rule 6).
+        /// True if the attempt counts against the retry budget.
         #[serde(rename = "further")]
         is_retry: bool,
     },
-    /// It is proven that no attempt of that paid session ran after all.
+    /// No attempt of a paid session was executed.
     #[serde(rename = "Unrun")]
     AttemptNotExecuted {
-        /// Which session.
+        /// Digest of the session id.
         sid: SessionDigest,
     },
-    /// The list's word on a server that this front was told takes no new work, or takes it again (rule 3).
+    /// The server list has stopped new work at a server, or allows it again.
     #[serde(rename = "Listed")]
     ServerListed {
-        /// Which server.
+        /// Server id.
         server: u64,
-        /// Whether it takes new work.
+        /// True if the server accepts new sessions.
         #[serde(rename = "serves")]
         accepts_sessions: bool,
     },
-    /// An attempt at a server ended as one does whose process is gone, or one worked again after that (rule 4: it
-    /// is cold when it is back).
+    /// An attempt failed as if the server's process had died, or succeeded for the first time since. The server is
+    /// cold when it is back.
     #[serde(rename = "Failed")]
     ServerFailure {
-        /// Which server.
+        /// Server id.
         server: u64,
-        /// Whether the last word is that it failed.
+        /// True if the last result is a failure.
         failed: bool,
     },
-    /// A life ends in order.
+    /// The incarnation shuts down cleanly.
     #[serde(rename = "Ended")]
     CleanShutdown,
-    /// All that the deeds before came to: the first of a file that was written anew.
+    /// State that replaces all earlier records; the first record of a compacted log.
     #[serde(rename = "Whole")]
     Snapshot(Box<crate::ledger::Ledger>),
 }
--- a/crates/recovery/src/recover.rs
+++ b/crates/recovery/src/recover.rs
@@ -1,4 +1,4 @@
-//! What of a file that is found at a start can be believed.
+//! Recovery of state from the log found at a start, as far as it can be trusted.
 
 use crate::frame;
 use crate::ledger::{Ledger, LedgerLimits, UnreleasedSession};
@@ -7,97 +7,99 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A file whose time of change is further from its last stamp than this is another one than was written last.
-const STRAYED: u64 = 2_000;
+/// Largest difference between a file's change time and its last record, beyond which the file is not the one that was
+/// written last.
+const MAX_CHANGE_TIME_DIFFERENCE_MS: u64 = 2_000;
 
-/// What is found at a start.
+/// Log found at a start.
 #[derive(Clone, Copy, Debug)]
 pub struct FoundLog<'a> {
-    /// The file's bytes; `None`: there is no file.
+    /// Contents of the file. `None` if there is no file.
     pub bytes: Option<&'a [u8]>,
-    /// When the file last changed (its `ctime`, which no copy or restoring can carry over), by the wall clock.
+    /// Time of the file's last change, in milliseconds since the Unix epoch. This must be its `ctime`, which copying
+    /// or restoring a file cannot preserve.
     pub changed_unix_ms: u64,
-    /// Something else says that this front ran before.
+    /// True if anything else shows that this front ran before.
     pub ran_before: bool,
 }
 
-/// DistrustReason a file is not believed.
+/// Reason why a log is not trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DistrustReason {
-    /// There is none, and there should be.
+    /// There is no log, although the front ran before.
     #[error("the file of deeds is gone")]
     Missing,
-    /// It is not what was written.
+    /// The log cannot be decoded.
     #[error("{0}")]
     InvalidFrames(#[from] frame::FrameError),
-    /// It holds no life.
+    /// The log records no incarnation.
     #[error("it tells of no life")]
     Empty,
-    /// It changed after the last deed: an older copy was put in its place.
+    /// The file changed at another time than its last record was written, so an older copy was restored.
     #[error("it changed {difference_ms} ms off its last deed: it is not the file that was written last")]
     ChangeTimeMismatch {
-        /// How far off.
+        /// Difference between the two times.
         difference_ms: u64,
     },
-    /// The boot's clock is behind it.
+    /// The last record is later than the machine's boot clock.
     #[error("its last deed lies ahead of the machine's clock")]
     ClockBehind,
 }
 
-/// How far the earlier lives are proven.
+/// Completeness of what is known of earlier incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// There was none.
+    /// There are no earlier incarnations.
     FirstStart,
-    /// All their deeds are known.
+    /// All their records are known.
     Complete,
-    /// The machine was started anew since: what was not yet on the disk is lost with it.
+    /// The machine has rebooted since, so records that were not yet on the disk are lost.
     Rebooted,
-    /// Nothing is: what should tell of them does not.
+    /// The log is not trusted.
     Unproven(DistrustReason),
-    /// Nothing is ever kept: each life may be the first or not.
+    /// Nothing is persisted, so earlier incarnations are unknown.
     NotPersisted,
 }
 
 impl Trust {
-    /// Whether deeds of the last life may be missing though they should be known.
+    /// Returns whether records of the last incarnation may be missing although they should be known.
     pub fn may_miss_records(&self) -> bool {
         matches!(self, Trust::Rebooted | Trust::Unproven(_))
     }
 
-    /// In describe, for operators.
+    /// Describes the value for operators. The texts appear in the health page and in logs.
     pub fn describe(&self) -> String {
         match self {
             Trust::FirstStart => "first life".into(),
             Trust::Complete => "earlier lives are proven".into(),
             Trust::Rebooted => "the machine was started anew".into(),
-            Trust::Unproven(why) => why.to_string(),
+            Trust::Unproven(reason) => reason.to_string(),
             Trust::NotPersisted => "nothing is kept (keep.file)".into(),
         }
     }
 }
 
-/// What a start knows of the lives before it.
+/// State of earlier incarnations, as known at a start.
 #[derive(Debug)]
 pub struct RecoveredState {
-    /// How far that is proven.
+    /// Completeness of this state.
     pub trust: Trust,
-    /// PaidSessions sessions that may have run, the oldest first.
+    /// Paid sessions that may have been executed, oldest first.
     pub paid_sessions: PaidSessions,
-    /// Ages of further attempts.
+    /// Ages of retries that count against the retry budget.
     pub retry_ages: Vec<Duration>,
-    /// For so long back those are all.
+    /// Time span up to now for which `retry_ages` has all retries.
     pub retries_complete_for: Duration,
-    /// Servers that take no new work.
+    /// Servers that accept no new sessions.
     pub stopped: BTreeSet<u64>,
-    /// Servers that failed, and did not work since.
+    /// Servers that failed and have not succeeded since.
     pub failed: BTreeSet<u64>,
-    /// PaidSessions sessions that servers may hold for the last life.
+    /// Paid sessions that servers may hold for the last incarnation.
     pub unreleased: Vec<UnreleasedSession>,
 }
 
 impl RecoveredState {
-    /// Of a front that keeps nothing.
+    /// State of a front that persists nothing.
     pub fn not_persisted() -> Self {
         RecoveredState {
             trust: Trust::NotPersisted,
@@ -111,23 +113,27 @@
     }
 }
 
-/// Reads what is found. Gives the ledger to go on with, before this life's own [`LogRecord::IncarnationStarted`].
+/// Recovers the state from a log.
+///
+/// Also returns the ledger to continue with; the caller applies [`LogRecord::IncarnationStarted`] of its own to it.
+///
+/// [`LogRecord::IncarnationStarted`]: crate::LogRecord::IncarnationStarted
 pub fn recover(
     found: FoundLog<'_>,
     boot: BootId,
     now: Timestamp,
-    bounds: &LedgerLimits,
+    limits: &LedgerLimits,
 ) -> (Ledger, RecoveredState) {
-    let (ledger, trust) = match believe(found, boot, now, bounds) {
-        Ok(believed) => believed,
-        Err(why) => (Ledger::unknown_before(now), Trust::Unproven(why)),
+    let (ledger, trust) = match read_trusted(found, boot, now, limits) {
+        Ok(trusted) => trusted,
+        Err(reason) => (Ledger::with_unknown_history(now), Trust::Unproven(reason)),
     };
     let age = |at: Timestamp| at.age(now);
-    let same_boot = trust == Trust::Complete;
+    let is_complete = trust == Trust::Complete;
     let recovered = RecoveredState {
         trust,
         paid_sessions: ledger.paid_sessions().clone(),
-        retry_ages: ledger.retries().filter(|_| same_boot).map(age).collect(),
+        retry_ages: ledger.retries().filter(|_| is_complete).map(age).collect(),
         retries_complete_for: match trust {
             Trust::FirstStart => Duration::MAX,
             Trust::Complete => ledger.retries_complete_since().map_or(Duration::MAX, age),
@@ -140,11 +146,12 @@
     (ledger, recovered)
 }
 
-fn believe(
+/// Reads the ledger from a log that passes all checks.
+fn read_trusted(
     found: FoundLog<'_>,
     boot: BootId,
     now: Timestamp,
-    bounds: &LedgerLimits,
+    limits: &LedgerLimits,
 ) -> Result<(Ledger, Trust), DistrustReason> {
     let Some(bytes) = found.bytes else {
         return if found.ran_before {
@@ -153,20 +160,20 @@
             Ok((Ledger::default(), Trust::FirstStart))
         };
     };
-    let read = frame::decode(bytes)?;
+    let log = frame::decode(bytes)?;
     let mut ledger = Ledger::default();
-    for (at, deed) in &read.records {
-        ledger.apply(*at, deed, bounds);
+    for (at, record) in &log.records {
+        ledger.apply(*at, record, limits);
     }
-    let in_boot = ledger.incarnations().next_back().map(|s| s.boot);
-    let (Some(in_boot), Some(last)) = (in_boot, ledger.last_record_at()) else {
+    let last_boot = ledger.incarnations().next_back().map(|i| i.boot);
+    let (Some(last_boot), Some(last)) = (last_boot, ledger.last_record_at()) else {
         return Err(DistrustReason::Empty);
     };
-    let by_ms = found.changed_unix_ms.abs_diff(last.wall_ms);
-    if by_ms > STRAYED {
-        return Err(DistrustReason::ChangeTimeMismatch { difference_ms: by_ms });
+    let difference_ms = found.changed_unix_ms.abs_diff(last.wall_ms);
+    if difference_ms > MAX_CHANGE_TIME_DIFFERENCE_MS {
+        return Err(DistrustReason::ChangeTimeMismatch { difference_ms });
     }
-    if in_boot != boot {
+    if last_boot != boot {
         return Ok((ledger, Trust::Rebooted));
     }
     if last.boot_ms > now.boot_ms {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,13 +1,13 @@
-//! What a front keeps over a stop: its last list and its knowledge, in one file of an embedded store (`redb`).
+//! State that a front persists between runs: its last server list and its knowledge, in one file of an embedded
+//! database (`redb`).
 //!
-//! Both are written in one transaction, synced to the disk before [`Store::put`] returns
-//! (`Durability::Immediate`): a crash leaves the last pair that was written, or the one before. Each value
-//! carries a CRC-32 of its own. A file that cannot be opened or whose values do not check is set aside under
-//! `.bad` and never trusted; the start goes on without.
+//! Both are written in one transaction and are on the disk before [`Store::save`] returns (`Durability::Immediate`): a
+//! crash leaves the last pair that was written or the one before. Each value has a CRC-32. A file that cannot be opened
+//! or has an invalid value is renamed with suffix `.bad`, and the front starts without persisted state.
 //!
-//! Beside it, [`LogStorage`]: an append-only file for what must be taken down before it is done.
+//! [`LogStorage`] is a separate append-only file for the write-ahead log.
 //!
-//! What the bytes mean is the callers': this crate knows neither list nor knowledge nor deeds.
+//! The meaning of the bytes is up to the callers.
 
 mod log_file;
 
@@ -20,127 +20,126 @@
 const LAST: TableDefinition<&str, &[u8]> = TableDefinition::new("last");
 const LIST: &str = "list";
 const KNOWLEDGE: &str = "knowledge";
-/// Longest value, bytes.
+/// Maximum length of a value in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why nothing could be kept.
+/// Reason why a store operation failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The store's own error: the disk is full, the folder read-only, the file in use.
+    /// Error of the database, such as a full disk, a read-only directory or a file in use.
     #[error("{0}")]
-    Store(String),
-    /// A value over [`MAX_VALUE_BYTES`].
-    #[error("a value over {MAX_VALUE_BYTES} bytes")]
+    Database(String),
+    /// A value is longer than [`MAX_VALUE_BYTES`].
+    #[error("value longer than {MAX_VALUE_BYTES} bytes")]
     TooLong,
 }
 
-fn store(e: impl std::fmt::Display) -> StoreError {
-    StoreError::Store(e.to_string())
+fn database_error(e: impl std::fmt::Display) -> StoreError {
+    StoreError::Database(e.to_string())
 }
 
-/// What was kept.
+/// Persisted values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedState {
-    /// The last list.
+    /// Encoded server list.
     pub list: Vec<u8>,
-    /// The knowledge.
+    /// Encoded knowledge.
     pub knowledge: Vec<u8>,
 }
 
-/// An open store.
+/// Open store.
 #[derive(Debug)]
 pub struct Store {
     db: Database,
 }
 
-/// A store as it was found.
+/// Result of opening a store.
 #[derive(Debug)]
 pub struct OpenedStore {
-    /// The store.
+    /// Open store.
     pub store: Store,
-    /// What it held.
+    /// State that the store held. `None` if it is new.
     pub state: Option<PersistedState>,
-    /// Where a file that could not be trusted was put.
+    /// New path of a previous file that was corrupt.
     pub quarantined: Option<PathBuf>,
 }
 
 impl Store {
-    /// Opens a store, or makes a new one where there is none or it cannot be trusted.
+    /// Opens a store. Creates a new one if there is none or the file is corrupt.
     ///
     /// # Errors
-    /// No store can be made there.
+    /// No store can be created at this path.
     pub fn open(path: &Path) -> Result<OpenedStore, StoreError> {
-        if let Ok((keep, kept)) = Store::trusted(path) {
-            return Ok(OpenedStore { store: keep, state: kept, quarantined: None });
+        if let Ok((store, state)) = Store::open_intact(path) {
+            return Ok(OpenedStore { store, state, quarantined: None });
         }
-        let aside = path.exists().then(|| sibling_path(path, ".bad"));
-        if let Some(aside) = &aside {
-            std::fs::rename(path, aside).map_err(store)?;
+        let quarantined = path.exists().then(|| sibling_path(path, ".bad"));
+        if let Some(quarantined) = &quarantined {
+            std::fs::rename(path, quarantined).map_err(database_error)?;
         }
-        let (keep, kept) = Store::trusted(path)?;
-        Ok(OpenedStore { store: keep, state: kept, quarantined: aside })
+        let (store, state) = Store::open_intact(path)?;
+        Ok(OpenedStore { store, state, quarantined })
     }
 
-    /// Opens and reads; a file that is broken in a way that the store does not expect is an error too, and
-    /// not the end of the process.
-    fn trusted(path: &Path) -> Result<(Store, Option<PersistedState>), StoreError> {
+    /// Opens and reads a store whose file is intact. A panic of the database on a corrupt file is returned as an error.
+    fn open_intact(path: &Path) -> Result<(Store, Option<PersistedState>), StoreError> {
         let opened = catch_unwind(AssertUnwindSafe(|| {
-            let mut db = Database::create(path).map_err(store)?;
-            // Pages that no value lies on may be broken too: the next write would find it out.
-            if !db.check_integrity().map_err(store)? {
-                return Err(StoreError::Store("it was not whole".into()));
+            let mut db = Database::create(path).map_err(database_error)?;
+            // Pages without values may be corrupt too, which the next write would detect.
+            if !db.check_integrity().map_err(database_error)? {
+                return Err(StoreError::Database("database file failed its integrity check".into()));
             }
-            let keep = Store { db };
-            let kept = keep.get()?;
-            if let Some(kept) = &kept {
-                keep.save(kept)?;
+            let store = Store { db };
+            let state = store.load()?;
+            if let Some(state) = &state {
+                store.save(state)?;
             }
-            Ok((keep, kept))
+            Ok((store, state))
         }));
-        opened.unwrap_or_else(|_| Err(StoreError::Store("broken beyond reading".into())))
+        opened.unwrap_or_else(|_| Err(StoreError::Database("database file cannot be read".into())))
     }
 
-    fn get(&self) -> Result<Option<PersistedState>, StoreError> {
-        let read = self.db.begin_read().map_err(store)?;
-        let table = match read.open_table(LAST) {
+    fn load(&self) -> Result<Option<PersistedState>, StoreError> {
+        let transaction = self.db.begin_read().map_err(database_error)?;
+        let table = match transaction.open_table(LAST) {
             Ok(table) => table,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-            Err(e) => return Err(store(e)),
+            Err(e) => return Err(database_error(e)),
         };
-        let one = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
-            let Some(value) = table.get(key).map_err(store)? else { return Ok(None) };
-            let checked = value.value().split_first_chunk::<4>().and_then(|(crc, body)| {
+        let value_of = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
+            let Some(value) = table.get(key).map_err(database_error)? else { return Ok(None) };
+            let body = value.value().split_first_chunk::<4>().and_then(|(crc, body)| {
                 (u32::from_le_bytes(*crc) == crc32fast::hash(body)).then(|| body.to_vec())
             });
-            checked.map(Some).ok_or_else(|| StoreError::Store(format!("{key}: its checksum does not fit")))
+            body.map(Some).ok_or_else(|| StoreError::Database(format!("{key}: checksum mismatch")))
         };
-        let (Some(list), Some(knowledge)) = (one(LIST)?, one(KNOWLEDGE)?) else { return Ok(None) };
+        let (Some(list), Some(knowledge)) = (value_of(LIST)?, value_of(KNOWLEDGE)?) else { return Ok(None) };
         Ok(Some(PersistedState { list, knowledge }))
     }
 
-    /// Keeps both, or neither. Blocks until they are on the disk.
+    /// Saves both values in one transaction. Blocks until they are on the disk.
     ///
     /// # Errors
-    /// They are not kept; what was kept before still is.
-    pub fn save(&self, kept: &PersistedState) -> Result<(), StoreError> {
-        if kept.list.len().max(kept.knowledge.len()) > MAX_VALUE_BYTES {
+    /// Nothing is saved, and the previous values are still there.
+    pub fn save(&self, state: &PersistedState) -> Result<(), StoreError> {
+        if state.list.len().max(state.knowledge.len()) > MAX_VALUE_BYTES {
             return Err(StoreError::TooLong);
         }
-        let put = catch_unwind(AssertUnwindSafe(|| self.write(kept)));
-        put.unwrap_or_else(|_| Err(StoreError::Store("broken beyond writing".into())))
+        let saved = catch_unwind(AssertUnwindSafe(|| self.write(state)));
+        saved.unwrap_or_else(|_| Err(StoreError::Database("database file cannot be written".into())))
     }
 
-    fn write(&self, kept: &PersistedState) -> Result<(), StoreError> {
-        let mut write = self.db.begin_write().map_err(store)?;
-        write.set_durability(Durability::Immediate).map_err(store)?;
+    fn write(&self, state: &PersistedState) -> Result<(), StoreError> {
+        let mut transaction = self.db.begin_write().map_err(database_error)?;
+        transaction.set_durability(Durability::Immediate).map_err(database_error)?;
         {
-            let mut table = write.open_table(LAST).map_err(store)?;
-            for (key, body) in [(LIST, &kept.list), (KNOWLEDGE, &kept.knowledge)] {
+            let mut table = transaction.open_table(LAST).map_err(database_error)?;
+            for (key, body) in [(LIST, &state.list), (KNOWLEDGE, &state.knowledge)] {
                 let mut value = crc32fast::hash(body).to_le_bytes().to_vec();
                 value.extend_from_slice(body);
-                table.insert(key, value.as_slice()).map_err(store)?;
+                table.insert(key, value.as_slice()).map_err(database_error)?;
             }
         }
-        write.commit().map_err(store)
+        transaction.commit().map_err(database_error)
     }
 }
--- a/crates/store/src/log_file.rs
+++ b/crates/store/src/log_file.rs
@@ -1,88 +1,90 @@
-//! An append-only file of one process: what is on it outlives the process, and with [`LogStorage::sync`] the machine.
+//! Append-only log file of one process. Its contents survive the process, and with [`LogStorage::sync`] the machine.
 //!
-//! A write that has returned lies in the system's cache: it is there after the process was killed, at whatever
-//! instant. Only a crash of the machine takes what was not synced.
+//! A completed write is in the page cache, so it survives a kill of the process at any time. Only a crash of the
+//! machine loses what was not synced.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// Longest file that is read, bytes.
+/// Maximum number of bytes that are read from a log.
 pub const MAX_LOG_BYTES: u64 = 1 << 30;
 
-/// Where deeds are taken down. [`LogFile`] in the product; tests put one that is full or slow in its place.
+/// Storage of a write-ahead log. [`LogFile`] in production; tests use one that is full or slow.
 pub trait LogStorage: Send {
-    /// Writes at the end. What an error leaves of it is taken away again before the next write.
+    /// Appends `bytes`. What a failed write leaves behind is removed before the next write.
     ///
     /// # Errors
-    /// It is not written.
+    /// The bytes are not written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Waits until all that was written is on the disk.
+    /// Waits until all appended bytes are on the disk.
     ///
     /// # Errors
-    /// It may not be.
+    /// They may not be on the disk.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Puts a new text in the place of the old: after a kill there is one or the other.
+    /// Replaces the whole contents atomically: after a kill, either the old or the new contents are there.
     ///
     /// # Errors
-    /// The old one is still there.
+    /// The old contents are still there.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// A paper as it was found.
+/// Result of opening a log file.
 pub struct OpenedLog {
-    /// To go on with.
+    /// Log file to append to.
     pub log: LogFile,
-    /// What was on it; `None`: there was none.
+    /// Contents of the file. `None` if it did not exist.
     pub bytes: Option<Vec<u8>>,
-    /// When it last changed (`ctime`), milliseconds since 1970.
+    /// Time of the file's last change (`ctime`), in milliseconds since the Unix epoch.
     pub changed_unix_ms: u64,
 }
 
-/// Why a paper cannot be had.
+/// Reason why a log file cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum LogFileError {
-    /// Another process holds it: two lives of one front at once.
+    /// The file is locked by another process: two processes of one front run at once.
     #[error("{file}: another process of this front holds it")]
     Locked {
-        /// The file of the lock.
+        /// Path of the lock file.
         file: String,
     },
-    /// The system's own error.
+    /// Error of the operating system.
     #[error("{file}: {source}")]
     Io {
-        /// Which file.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// A paper that is a file. Its lock, a file of its own sibling_path it, is held as long as this lives.
+/// Write-ahead log in a file. A separate lock file beside it is locked for the lifetime of this value.
 #[derive(Debug)]
 pub struct LogFile {
     path: PathBuf,
     file: File,
-    good: u64,
-    spoilt: bool,
+    /// Length of the contents up to the last completed write.
+    valid_len: u64,
+    /// True if a partial write could not be truncated yet.
+    has_partial_write: bool,
     _lock: File,
 }
 
-/// The file of that name and ending, in the same folder.
-pub fn sibling_path(path: &Path, ending: &str) -> PathBuf {
+/// Returns the path with `suffix` appended to the file name.
+pub fn sibling_path(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_os_string();
-    name.push(ending);
+    name.push(suffix);
     path.with_file_name(name)
 }
 
 impl LogFile {
-    /// Opens a paper and reads it; makes one where there is none.
+    /// Opens and reads a log file, or creates it.
     ///
     /// # Errors
-    /// Another process holds it, or the system says no.
+    /// Another process has locked it, or an operation of the file system failed.
     pub fn open(path: &Path) -> Result<OpenedLog, LogFileError> {
         let io = |file: &Path| {
             let file = file.display().to_string();
@@ -98,45 +100,45 @@
             }
             Err(TryLockError::Error(e)) => return Err(io(&lock_path)(e)),
         }
-        let there = path.exists();
+        let existed = path.exists();
         let mut file =
             OpenOptions::new().create(true).read(true).append(true).open(path).map_err(io(path))?;
-        let facts = file.metadata().map_err(io(path))?;
-        let changed_ms =
-            (facts.ctime().max(0) as u64) * 1_000 + (facts.ctime_nsec().max(0) as u64) / 1_000_000;
+        let metadata = file.metadata().map_err(io(path))?;
+        let changed_unix_ms =
+            (metadata.ctime().max(0) as u64) * 1_000 + (metadata.ctime_nsec().max(0) as u64) / 1_000_000;
         let mut bytes = Vec::new();
-        if there {
+        if existed {
             (&mut file).take(MAX_LOG_BYTES).read_to_end(&mut bytes).map_err(io(path))?;
         }
-        let good = facts.len();
-        let paper = LogFile { path: path.into(), file, good, spoilt: false, _lock: lock };
-        Ok(OpenedLog { log: paper, bytes: there.then_some(bytes), changed_unix_ms: changed_ms })
+        let valid_len = metadata.len();
+        let log = LogFile { path: path.into(), file, valid_len, has_partial_write: false, _lock: lock };
+        Ok(OpenedLog { log, bytes: existed.then_some(bytes), changed_unix_ms })
     }
 
-    /// Keeps a copy of what is on it under `.bad`, for whoever looks for the cause.
+    /// Copies the file to one with suffix `.bad`, for diagnosis.
     ///
     /// # Errors
-    /// The system's.
+    /// The copy failed.
     pub fn copy_to_quarantine(&self) -> io::Result<PathBuf> {
-        let aside = sibling_path(&self.path, ".bad");
-        std::fs::copy(&self.path, &aside)?;
-        Ok(aside)
+        let quarantine = sibling_path(&self.path, ".bad");
+        std::fs::copy(&self.path, &quarantine)?;
+        Ok(quarantine)
     }
 }
 
 impl LogStorage for LogFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.spoilt {
-            self.file.set_len(self.good)?;
-            self.spoilt = false;
+        if self.has_partial_write {
+            self.file.set_len(self.valid_len)?;
+            self.has_partial_write = false;
         }
-        let written = self.file.write_all(bytes);
-        match written {
-            Ok(()) => self.good += bytes.len() as u64,
-            // A part of it may be there: a frame after it would be taken for garbage.
-            Err(_) => self.spoilt = self.file.set_len(self.good).is_err(),
+        let result = self.file.write_all(bytes);
+        match result {
+            Ok(()) => self.valid_len += bytes.len() as u64,
+            // Part of the bytes may be written; frames appended after it would make the log corrupt.
+            Err(_) => self.has_partial_write = self.file.set_len(self.valid_len).is_err(),
         }
-        written
+        result
     }
 
     fn sync(&mut self) -> io::Result<()> {
@@ -151,8 +153,8 @@
         new.sync_data()?;
         std::fs::rename(&new_path, &self.path)?;
         let mut file = OpenOptions::new().read(true).append(true).open(&self.path)?;
-        self.good = file.seek(SeekFrom::End(0))?;
-        (self.file, self.spoilt) = (file, false);
+        self.valid_len = file.seek(SeekFrom::End(0))?;
+        (self.file, self.has_partial_write) = (file, false);
         Ok(())
     }
 }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store: kept over a stop; torn, garbled and foreign files are set aside and never trusted.
+//! The store persists its last state. Truncated, corrupt and foreign files are renamed and never trusted.
 
 use cloverhollow_store::{PersistedState, Store};
 use std::path::PathBuf;
@@ -10,70 +10,70 @@
     dir.join("front.keep")
 }
 
-fn kept(n: u8) -> PersistedState {
+fn state(n: u8) -> PersistedState {
     PersistedState { list: vec![n; 3000], knowledge: vec![n, n, n] }
 }
 
 #[test]
-fn what_is_put_is_there_after_a_stop_and_the_last_pair_counts() {
+fn the_last_saved_state_is_loaded_when_the_store_is_opened_again() {
     let path = file("stop");
     let opened = Store::open(&path).unwrap();
     assert!(opened.state.is_none() && opened.quarantined.is_none());
     for n in 0..20 {
-        opened.store.save(&kept(n)).unwrap();
+        opened.store.save(&state(n)).unwrap();
     }
     drop(opened);
-    assert_eq!(Store::open(&path).unwrap().state, Some(kept(19)));
+    assert_eq!(Store::open(&path).unwrap().state, Some(state(19)));
 }
 
 #[test]
-fn a_process_that_ends_without_closing_leaves_the_last_pair() {
+fn the_last_saved_state_survives_a_process_that_does_not_close_the_store() {
     let path = file("crash");
     let opened = Store::open(&path).unwrap();
-    opened.store.save(&kept(7)).unwrap();
-    // As a kill leaves it: the file as it stands on the disk, never closed.
+    opened.store.save(&state(7)).unwrap();
+    // A copy of the open file is what a kill leaves on the disk.
     let copy = path.with_extension("copy");
     std::fs::copy(&path, &copy).unwrap();
-    assert_eq!(Store::open(&copy).unwrap().state, Some(kept(7)));
+    assert_eq!(Store::open(&copy).unwrap().state, Some(state(7)));
 }
 
 #[test]
-fn torn_and_garbled_files_give_what_was_written_or_are_set_aside() {
+fn truncated_and_corrupt_files_give_a_saved_state_or_are_quarantined() {
     let path = file("torn");
     let opened = Store::open(&path).unwrap();
-    opened.store.save(&kept(1)).unwrap();
-    opened.store.save(&kept(2)).unwrap();
+    opened.store.save(&state(1)).unwrap();
+    opened.store.save(&state(2)).unwrap();
     drop(opened);
-    let whole = std::fs::read(&path).unwrap();
-    let (mut trusted, mut aside) = (0, 0);
-    let mut look = |bytes: &[u8], what: &str| {
-        let broken = path.with_extension("broken");
-        std::fs::write(&broken, bytes).unwrap();
-        let opened = Store::open(&broken).unwrap_or_else(|e| panic!("{what}: {e}"));
+    let intact = std::fs::read(&path).unwrap();
+    let (mut loaded, mut quarantined) = (0, 0);
+    let mut check = |bytes: &[u8], case: &str| {
+        let damaged = path.with_extension("broken");
+        std::fs::write(&damaged, bytes).unwrap();
+        let opened = Store::open(&damaged).unwrap_or_else(|e| panic!("{case}: {e}"));
         match opened.state {
-            Some(k) => {
-                assert!(k == kept(1) || k == kept(2), "{what}: something else is trusted");
-                trusted += 1;
+            Some(s) => {
+                assert!(s == state(1) || s == state(2), "{case}: loaded a state that was never saved");
+                loaded += 1;
             }
-            None => aside += usize::from(opened.quarantined.is_some()),
+            None => quarantined += usize::from(opened.quarantined.is_some()),
         }
-        // Either way it can be written from here on.
-        opened.store.save(&kept(3)).unwrap();
+        // In either case the store can be written to afterwards.
+        opened.store.save(&state(3)).unwrap();
     };
-    for cut in (0..whole.len()).step_by(whole.len() / 24 + 1) {
-        look(&whole[..cut], &format!("cut at {cut}"));
+    for len in (0..intact.len()).step_by(intact.len() / 24 + 1) {
+        check(&intact[..len], &format!("truncated to {len} bytes"));
     }
     for i in 0..60 {
-        let mut bad = whole.clone();
-        let at = (i * 7919 + 13) % bad.len();
-        bad[at] ^= 0xff;
-        look(&bad, &format!("byte {at} garbled"));
+        let mut corrupt = intact.clone();
+        let offset = (i * 7919 + 13) % corrupt.len();
+        corrupt[offset] ^= 0xff;
+        check(&corrupt, &format!("byte {offset} corrupt"));
     }
-    look(b"not a store at all", "foreign");
-    assert!(trusted > 0 && aside > 0, "{trusted} trusted, {aside} set aside");
+    check(b"not a store at all", "foreign");
+    assert!(loaded > 0 && quarantined > 0, "{loaded} loaded, {quarantined} quarantined");
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_an_error_and_no_panic() {
+fn opening_a_store_in_a_missing_directory_is_an_error() {
     assert!(Store::open(std::path::Path::new("/nowhere/at/all.keep")).is_err());
 }
