--- a/crates/front/src/lives.rs
+++ b/crates/front/src/lives.rs
@@ -6,7 +6,7 @@
 use cloverhollow_recovery::{
     recover, FoundLog, LedgerLimits, LogRecord, RecoveredState, RestartBackoff, Trust,
 };
-use cloverhollow_settings::{FrontSettings, Outlives};
+use cloverhollow_settings::{Durability, FrontSettings};
 use cloverhollow_store::{sibling_path, LogFile, LogFileError, LogStorage};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
 pub(crate) async fn open(
     settings: &FrontSettings,
 ) -> Result<Option<cloverhollow_store::OpenedLog>, LogFileError> {
-    let Some(path) = settings.keep.file.as_deref().map(log_file_path) else { return Ok(None) };
+    let Some(path) = settings.persistence.file.as_deref().map(log_file_path) else { return Ok(None) };
     let opened = spawn_blocking(move || {
         let begun = Instant::now();
         loop {
@@ -68,24 +68,27 @@
     let Some(found) = found else { return without(settings) };
     let (paper, bytes, changed_ms) = (found.log, found.bytes, found.changed_unix_ms);
     let (boot, now) = (boot(), stamp());
-    let bounds = LedgerLimits { paid_sessions: settings.sessions.spent.count(), ..LedgerLimits::default() };
+    let bounds = LedgerLimits {
+        paid_sessions: settings.sessions.max_spent_sessions.as_usize(),
+        ..LedgerLimits::default()
+    };
     let there = FoundLog { bytes: bytes.as_deref(), changed_unix_ms: changed_ms, ran_before };
     let (ledger, recovered) = recover(there, boot, now, &bounds);
     if let Trust::Unproven(why) = recovered.trust {
         let aside = paper.copy_to_quarantine().map(|p| p.display().to_string()).unwrap_or_default();
         tracing::warn!(%why, aside, "earlier lives are not proven: what they may have spent counts as spent");
     }
-    let r = &settings.keep.restarts;
+    let r = &settings.persistence.restarts;
     let backoff = RestartBackoff {
         window: r.window_ms.get(),
-        free_crashes: r.free.count(),
-        initial_delay: r.first_ms.get(),
-        max_delay: r.most_ms.get(),
+        free_crashes: r.free_restarts.as_usize(),
+        initial_delay: r.min_delay_ms.get(),
+        max_delay: r.max_delay_ms.get(),
     };
     let wait = backoff.start_delay(&ledger, boot, now);
     let rules = Rules {
-        sync: settings.keep.outlives == Outlives::Machine,
-        span: settings.rules.ration.as_ref().map_or(Duration::ZERO, |r| r.span_ms.get()),
+        sync: settings.persistence.durability == Durability::Machine,
+        span: settings.rules.retry_budget.as_ref().map_or(Duration::ZERO, |r| r.window_ms.get()),
         bounds,
     };
     let paper: Box<dyn LogStorage> = Box::new(paper);
@@ -95,7 +98,7 @@
 
 /// A front that keeps nothing, by its settings or because it cannot.
 fn without(settings: &FrontSettings) -> Lives {
-    let journal = match settings.keep.file {
+    let journal = match settings.persistence.file {
         None => Journal::none(),
         Some(_) => Journal::broken(),
     };
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -68,18 +68,18 @@
             keys.push(Key { id: k.id.get() as u32, secret });
         }
         let me = MemberId {
-            address: m.address.unwrap_or(bound),
+            address: m.advertised_address.unwrap_or(bound),
             side_address: side,
             name: settings.instance.name.as_str().into(),
-            zone: settings.instance.hall.as_str().into(),
+            zone: settings.instance.zone.as_str().into(),
             incarnation: Incarnation { number: unix_ms(), token: fastrand::u64(1..) },
         };
         let swim = SwimConfig {
-            probe_interval: m.probe_ms.get(),
-            probe_timeout: m.answer_ms.get(),
-            suspicion_timeout: m.suspicion_ms.get(),
-            gossip_interval: m.gossip_ms.get(),
-            rejoin_interval: m.heal_ms.get(),
+            probe_interval: m.probe_interval_ms.get(),
+            probe_timeout: m.probe_timeout_ms.get(),
+            suspicion_timeout: m.suspicion_timeout_ms.get(),
+            gossip_interval: m.gossip_interval_ms.get(),
+            rejoin_interval: m.reconnect_interval_ms.get(),
             seeds: m.seeds.clone(),
             ..SwimConfig::default()
         };
@@ -88,7 +88,7 @@
             local_id: me,
             keys,
             swim,
-            lease_duration: m.lease_ms.get(),
+            lease_duration: m.lease_duration_ms.get(),
             witnesses: m.witnesses.clone(),
             seed: fastrand::u64(..),
         };
--- a/crates/front/src/save.rs
+++ b/crates/front/src/save.rs
@@ -6,7 +6,7 @@
 //! copy, and nothing else.
 
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_knowledge::Level;
+use cloverhollow_knowledge::KnowledgeLevel;
 use cloverhollow_session::{ListUpdate, SavedList, SnapshotCell};
 use cloverhollow_settings::FrontSettings;
 use cloverhollow_store::{PersistedState, Store};
@@ -34,8 +34,8 @@
 
 /// Opens the store.
 pub(crate) async fn load(settings: &FrontSettings) -> Loaded {
-    let Some(path) = settings.keep.file.clone() else { return Loaded::default() };
-    let cold = settings.rules.cold_ms.get();
+    let Some(path) = settings.persistence.file.clone() else { return Loaded::default() };
+    let cold = settings.rules.warm_up_ms.get();
     let read = spawn_blocking(move || {
         let file = path.display().to_string();
         let was_there = path.exists();
@@ -75,7 +75,7 @@
 ) -> watch::Sender<Option<SavedList>> {
     let (tx, mut rx) = watch::channel(None);
     let Some(keep) = keep else { return tx };
-    let (stop, every) = (stop.clone(), settings.keep.knowledge_ms.get());
+    let (stop, every) = (stop.clone(), settings.persistence.knowledge_interval_ms.get());
     let keep = Arc::new(keep);
     tasks.spawn(async move {
         let mut seq = 0;
@@ -90,7 +90,7 @@
             let view = shelf.latest();
             if let Some(list) = list.filter(|_| new_list || view.seq() != seq) {
                 seq = view.seq();
-                let message = view.message(clock.now(), 0, None, Level::Cold, Vec::new());
+                let message = view.message(clock.now(), 0, None, KnowledgeLevel::Cold, Vec::new());
                 let kept = PersistedState {
                     list: serde_json::to_vec(&list).unwrap_or_default(),
                     knowledge: message.encode().unwrap_or_default(),
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use cloverhollow_http::{Limits, RequestFrame, RequestHead, ResponseHead};
-use cloverhollow_knowledge::facts::{Observer, Standing, State};
+use cloverhollow_knowledge::observations::{ListedState, Observer, ServerStatus};
 use cloverhollow_knowledge::wire::Message;
-use cloverhollow_knowledge::{Book, Level};
+use cloverhollow_knowledge::{KnowledgeLevel, KnowledgeStore};
 use cloverhollow_net::{read_body, write_response, ServerCodec, ServerConn};
 use cloverhollow_settings::title_id;
 use common::*;
@@ -35,7 +35,7 @@
                 let mut conn: ServerConn = Framed::new(stream, ServerCodec::new(Limits::default()));
                 let Some(Ok(RequestFrame::Head(head))) = conn.next().await else { return };
                 let _ = read_body(&mut conn, 0).await;
-                let nonce = head.target.argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
+                let nonce = head.target.query_argument("nonce").and_then(|n| n.parse().ok()).unwrap_or(0);
                 let (out, body) = reply(count.fetch_add(1, Relaxed), nonce, &head);
                 // A head that promises more than is sent is a cut.
                 let _ = write_response(&mut conn, out, Bytes::from(body)).await;
@@ -48,9 +48,13 @@
 /// What a warm front would say: that server 1 drains since version 9 of the list.
 fn message(nonce: u64, fleet: &str) -> Message {
     let me = Observer { instance: 77, incarnation: 1 };
-    let mut book = Book::new(me, title_id(fleet), Duration::from_secs(30));
-    book.listed(Duration::from_secs(100), 1, State { version: 9, standing: Standing::Draining });
-    book.view().message(Duration::from_secs(101), nonce, None, Level::Warm, Vec::new())
+    let mut book = KnowledgeStore::new(me, title_id(fleet), Duration::from_secs(30));
+    book.record_state(
+        Duration::from_secs(100),
+        1,
+        ListedState { version: 9, status: ServerStatus::Draining },
+    );
+    book.view().message(Duration::from_secs(101), nonce, None, KnowledgeLevel::Warm, Vec::new())
 }
 
 fn whole(nonce: u64) -> Vec<u8> {
@@ -111,7 +115,7 @@
     let (first, second) = (Peer::start(Does::Plays).await, Peer::start(Does::Plays).await);
     let cuts: Reply = Arc::new(|n, nonce, head| {
         let all = whole(nonce);
-        let text = |name: &str| head.headers.text(name).map(str::to_string);
+        let text = |name: &str| head.headers.get_str(name).map(str::to_string);
         if n == 0 {
             let (head, _) = ok(all.clone());
             return (ResponseHead { keep_alive: false, ..head }, all[..all.len() / 2].to_vec());
