--- a/crates/front/src/members/status_page.rs
+++ b/crates/front/src/members/status_page.rs
@@ -29,7 +29,7 @@
                 "from_ms": part.map(|p| p.valid_from.saturating_sub(now).as_millis() as u64),
                 "for_ms": part.map(|p| p.valid_until.saturating_sub(now).as_millis() as u64),
             },
-            "witness": member.witness().map(|w| w.holders()),
+            "witness": member.witness().map(|w| w.holder_count()),
             "stepped_back": member.replaced_by().map(|w| w.address),
             "datagrams": {
                 "taken": status.received, "sent": status.sent, "sent_bytes": status.sent_bytes,
