--- a/crates/front/src/members/page.rs
+++ b/crates/front/src/members/status_page.rs
@@ -1,20 +1,21 @@
-//! The operators' page.
+//! Operators' status page of the fleet.
 
-use super::Fleet;
+use super::FleetMember;
 use std::time::Duration;
 
-impl Fleet {
-    /// What operators see.
-    pub(crate) fn page(&self) -> serde_json::Value {
+impl FleetMember {
+    /// Returns the status page.
+    pub(crate) fn status_page(&self) -> serde_json::Value {
         let now = self.clock.now();
-        let ago = |t: Duration| now.saturating_sub(t).as_millis() as u64;
-        let m = self.member();
-        let (me, view, status, part) = (m.local_id(), m.view(), m.stats(), m.fleet_size());
-        let seen = view.members.values().map(|s| {
+        let ms_since = |time: Duration| now.saturating_sub(time).as_millis() as u64;
+        let member = self.member();
+        let (me, view, status, part) =
+            (member.local_id(), member.view(), member.stats(), member.fleet_size());
+        let members = view.members.values().map(|s| {
             serde_json::json!({
                 "name": &*s.id.name, "hall": &*s.id.zone, "address": s.id.address, "side": s.id.side_address,
-                "life": s.id.incarnation.to_string(), "sure": s.state, "since_ms": ago(s.since),
-                "heard_ms": s.last_received.map(ago), "why": s.reason,
+                "life": s.id.incarnation.to_string(), "sure": s.state, "since_ms": ms_since(s.since),
+                "heard_ms": s.last_received.map(ms_since), "why": s.reason,
             })
         });
         let refused = status.rejected.iter().map(|(why, n)| (why.to_string(), (*n).into()));
@@ -22,20 +23,20 @@
             "me": {"name": &*me.name, "hall": &*me.zone, "address": me.address, "life": me.incarnation.to_string()},
             "view": {"number": view.version, "at_least": view.alive_count(), "at_most": view.alive_or_suspect_count()},
             "count": {
-                "asked_for": self.counts,
+                "asked_for": self.uses_witnesses,
                 "in_force": part.and_then(|p| p.valid_at(now)),
                 "fronts": part.map(|p| p.count),
                 "from_ms": part.map(|p| p.valid_from.saturating_sub(now).as_millis() as u64),
                 "for_ms": part.map(|p| p.valid_until.saturating_sub(now).as_millis() as u64),
             },
-            "witness": m.witness().map(|w| w.holder_count()),
-            "stepped_back": m.replaced_by().map(|w| w.address),
+            "witness": member.witness().map(|w| w.holder_count()),
+            "stepped_back": member.replaced_by().map(|w| w.address),
             "datagrams": {
                 "taken": status.received, "sent": status.sent, "sent_bytes": status.sent_bytes,
                 "refused": serde_json::Map::from_iter(refused),
             },
-            "out": self.out().map(|o| o.page(now, view)),
-            "members": seen.collect::<Vec<_>>(),
+            "out": self.permits().map(|permits| permits.status_page(now, view)),
+            "members": members.collect::<Vec<_>>(),
         })
     }
 }
