--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,27 +1,33 @@
-//! Frames to bytes.
+//! Encoders from frames to bytes.
 
 use crate::head::{Framing, Headers, RequestHead, ResponseHead};
 use crate::{RequestFrame, ResponseFrame};
 use bytes::{BufMut, BytesMut};
 use std::io::Write;
 
-/// What the encoder writes itself: framing of this hop (RFC 9110, section 7.6.1).
-fn is_hop(name: &[u8]) -> bool {
-    const HOP: [&str; 7] =
+/// Returns whether the header belongs to this hop (RFC 9110, section 7.6.1): the encoder writes those itself.
+fn is_hop_by_hop(name: &[u8]) -> bool {
+    const NAMES: [&str; 7] =
         ["content-length", "transfer-encoding", "connection", "keep-alive", "te", "trailer", "upgrade"];
-    HOP.iter().any(|h| name.eq_ignore_ascii_case(h.as_bytes()))
+    NAMES.iter().any(|h| name.eq_ignore_ascii_case(h.as_bytes()))
 }
 
-fn put_headers(out: &mut BytesMut, headers: &Headers, framing: Framing, keep_alive: bool, empty: bool) {
-    for (name, value) in headers.iter().filter(|(n, _)| !is_hop(n)) {
+fn write_headers(
+    out: &mut BytesMut,
+    headers: &Headers,
+    framing: Framing,
+    keep_alive: bool,
+    write_zero_length: bool,
+) {
+    for (name, value) in headers.iter().filter(|(n, _)| !is_hop_by_hop(n)) {
         out.put_slice(name);
         out.put_slice(b": ");
         out.put_slice(value);
         out.put_slice(b"\r\n");
     }
     match framing {
-        Framing::Length(n) => put(out, format_args!("content-length: {n}\r\n")),
-        Framing::Empty if empty => out.put_slice(b"content-length: 0\r\n"),
+        Framing::Length(n) => write_fmt(out, format_args!("content-length: {n}\r\n")),
+        Framing::Empty if write_zero_length => out.put_slice(b"content-length: 0\r\n"),
         Framing::Empty => {}
         Framing::Chunked => out.put_slice(b"transfer-encoding: chunked\r\n"),
         Framing::UntilClose => {}
@@ -32,12 +38,12 @@
     out.put_slice(b"\r\n");
 }
 
-fn put(out: &mut BytesMut, text: std::fmt::Arguments<'_>) {
-    // Writing to a growing buffer does not fail.
+fn write_fmt(out: &mut BytesMut, text: std::fmt::Arguments<'_>) {
+    // Writing to a growing buffer cannot fail.
     let _ = out.writer().write_fmt(text);
 }
 
-/// The body's side of an encoder.
+/// Encoder of a message body.
 #[derive(Debug, Default)]
 struct BodyEncoder {
     chunked: bool,
@@ -46,10 +52,10 @@
 impl BodyEncoder {
     fn data(&self, data: &[u8], out: &mut BytesMut) {
         if data.is_empty() {
-            return; // an empty chunk would end the body
+            return; // An empty chunk would end the body.
         }
         if self.chunked {
-            put(out, format_args!("{:x}\r\n", data.len()));
+            write_fmt(out, format_args!("{:x}\r\n", data.len()));
         }
         out.put_slice(data);
         if self.chunked {
@@ -64,20 +70,20 @@
     }
 }
 
-/// Writes requests.
+/// Encoder of requests.
 #[derive(Debug, Default)]
 pub struct RequestEncoder {
     body: BodyEncoder,
 }
 
 impl RequestEncoder {
-    /// Puts a frame behind what is in the buffer.
+    /// Appends a frame to `out`.
     pub fn encode(&mut self, frame: &RequestFrame, out: &mut BytesMut) {
         match frame {
             RequestFrame::Head(RequestHead { method, target, headers, framing, keep_alive }) => {
                 self.body.chunked = *framing == Framing::Chunked;
-                put(out, format_args!("{} {} HTTP/1.1\r\n", method.name(), target.as_str()));
-                put_headers(out, headers, *framing, *keep_alive, false);
+                write_fmt(out, format_args!("{} {} HTTP/1.1\r\n", method.name(), target.as_str()));
+                write_headers(out, headers, *framing, *keep_alive, false);
             }
             RequestFrame::Data(data) => self.body.data(data, out),
             RequestFrame::End => self.body.end(out),
@@ -85,14 +91,14 @@
     }
 }
 
-/// Writes responses.
+/// Encoder of responses.
 #[derive(Debug, Default)]
 pub struct ResponseEncoder {
     body: BodyEncoder,
 }
 
 impl ResponseEncoder {
-    /// Puts a frame behind what is in the buffer. A body until close goes out in chunks.
+    /// Appends a frame to `out`. A body with [`Framing::UntilClose`] is sent chunked.
     pub fn encode(&mut self, frame: &ResponseFrame, out: &mut BytesMut) {
         match frame {
             ResponseFrame::Head(ResponseHead { status, headers, framing, keep_alive }) => {
@@ -101,9 +107,9 @@
                     other => *other,
                 };
                 self.body.chunked = framing == Framing::Chunked;
-                put(out, format_args!("HTTP/1.1 {status} {}\r\n", reason(*status)));
-                let says_length = *status != 204 && *status != 304;
-                put_headers(out, headers, framing, *keep_alive, says_length);
+                write_fmt(out, format_args!("HTTP/1.1 {status} {}\r\n", reason_phrase(*status)));
+                let may_have_length = *status != 204 && *status != 304;
+                write_headers(out, headers, framing, *keep_alive, may_have_length);
             }
             ResponseFrame::Data(data) => self.body.data(data, out),
             ResponseFrame::End => self.body.end(out),
@@ -111,8 +117,8 @@
     }
 }
 
-/// The words of the statuses that this program gives (RFC 9110, section 15).
-fn reason(status: u16) -> &'static str {
+/// Reason phrase of each status that the front or a test server sends (RFC 9110, section 15).
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         204 => "No Content",
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,76 +1,77 @@
-//! Heads of requests and responses.
+//! Request and response heads: method, target, status, headers, framing.
 
 use crate::target::Target;
 use bytes::Bytes;
 
-/// Header lines in the order they came. Names are compared without regard to case.
+/// Header lines in the order of arrival. Names compare case-insensitively.
 #[derive(Clone, Debug, Default)]
 pub struct Headers {
     lines: Vec<(Bytes, Bytes)>,
 }
 
 impl Headers {
-    /// Adds a line. The caller vouches that neither part holds a control character.
+    /// Appends a line. The caller must ensure that neither part holds a control character.
     pub fn push(&mut self, name: impl Into<Bytes>, value: impl Into<Bytes>) {
         self.lines.push((name.into(), value.into()));
     }
 
-    /// All lines but those under that name. Copies no bytes.
+    /// Returns all lines except those with this name. Shares the bytes.
     pub fn without(&self, name: &str) -> Headers {
-        let others = self.lines.iter().filter(|(n, _)| !n.eq_ignore_ascii_case(name.as_bytes()));
-        Headers { lines: others.cloned().collect() }
+        let remaining = self.lines.iter().filter(|(n, _)| !n.eq_ignore_ascii_case(name.as_bytes()));
+        Headers { lines: remaining.cloned().collect() }
     }
 
-    /// All lines.
+    /// Iterates over names and values in the order of arrival.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.lines.iter().map(|(n, v)| (&n[..], &v[..]))
     }
 
-    /// All values under that name.
+    /// Values of all lines with this name.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).map(|(_, v)| v)
     }
 
-    /// The first value under that name, if it is UTF-8.
+    /// Value of the first line with this name; `None` if there is no such line or it is not UTF-8.
     pub fn get_str(&self, name: &str) -> Option<&str> {
         let first = self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
         first.and_then(|(_, v)| std::str::from_utf8(v).ok())
     }
 
-    /// All values under that name as one list (RFC 9110, section 5.3); lines that are no UTF-8 are left out.
+    /// Values of all lines with this name, joined with commas (RFC 9110, section 5.3). Lines that are not UTF-8
+    /// are skipped; `None` if no line is left.
     pub fn joined(&self, name: &str) -> Option<String> {
         let mut out: Option<String> = None;
-        for v in self.get_all(name).filter_map(|v| std::str::from_utf8(v).ok()) {
+        for value in self.get_all(name).filter_map(|v| std::str::from_utf8(v).ok()) {
             match &mut out {
-                None => out = Some(v.to_string()),
-                Some(s) => {
-                    s.push_str(", ");
-                    s.push_str(v);
+                None => out = Some(value.to_string()),
+                Some(list) => {
+                    list.push_str(", ");
+                    list.push_str(value);
                 }
             }
         }
         out
     }
 
-    /// Whether a comma-separated header names that token.
+    /// Returns whether a comma-separated header contains the token, case-insensitively.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name)
             .flat_map(|v| v.split(|b| *b == b','))
             .any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// How many lines.
+    /// Number of header lines.
     pub fn len(&self) -> usize {
         self.lines.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no header lines.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
 }
 
-/// A request method, as far as this program tells them apart.
+/// Request method.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Method {
     /// GET.
@@ -79,12 +80,12 @@
     Head,
     /// POST.
     Post,
-    /// Any other.
+    /// Any other method, as received.
     Other(Box<str>),
 }
 
 impl Method {
-    pub(crate) fn find(name: &str) -> Method {
+    pub(crate) fn from_name(name: &str) -> Method {
         match name {
             "GET" => Method::Get,
             "HEAD" => Method::Head,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Its name.
+    /// Name as sent in the request line.
     pub fn name(&self) -> &str {
         match self {
             Method::Get => "GET",
@@ -104,14 +105,14 @@
     }
 }
 
-/// How the end of a body is told (RFC 9112, section 6).
+/// How the end of a body is determined (RFC 9112, section 6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// No body.
     Empty,
-    /// So many bytes.
+    /// Content-length in bytes.
     Length(u64),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
     /// Until the connection closes (responses only).
     UntilClose,
@@ -120,20 +121,20 @@
 /// Head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// The method.
+    /// Request method.
     pub method: Method,
-    /// The target, in origin form.
+    /// Target in origin form.
     pub target: Target,
-    /// Its header lines; framing headers are among them when read, and left out when written.
+    /// Header lines. A decoder leaves framing headers in; an encoder skips them and writes its own.
     pub headers: Headers,
-    /// How its body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the connection may be used again afterwards.
+    /// True if the connection may be reused after this exchange.
     pub keep_alive: bool,
 }
 
 impl RequestHead {
-    /// A request without a body.
+    /// Creates a GET request without a body.
     pub fn get(target: Target) -> Self {
         RequestHead {
             method: Method::Get,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A request with a body of that length.
+    /// Creates a POST request with a body of `length` bytes.
     pub fn post(target: Target, length: usize) -> Self {
         RequestHead { method: Method::Post, framing: Framing::Length(length as u64), ..Self::get(target) }
     }
@@ -153,18 +154,18 @@
 /// Head of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// Its header lines; framing headers are among them when read, and left out when written.
+    /// Header lines. A decoder leaves framing headers in; an encoder skips them and writes its own.
     pub headers: Headers,
-    /// How its body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the connection may be used again afterwards.
+    /// True if the connection may be reused after this exchange.
     pub keep_alive: bool,
 }
 
 impl ResponseHead {
-    /// A response with a body of that length.
+    /// Creates a response with a body of `length` bytes.
     pub fn new(status: u16, length: usize) -> Self {
         ResponseHead {
             status,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,10 @@
 //! HTTP/1.1 (RFC 9112) as bytes in and frames out, without any I/O.
 //!
-//! A [`RequestDecoder`] turns what a client sent into [`RequestFrame`]s, a [`ResponseDecoder`] what a server
-//! sent into [`ResponseFrame`]s; [`RequestEncoder`] and [`ResponseEncoder`] do the reverse. Both decoders are
-//! strict where leniency lets two parties read one message differently (RFC 9112, section 11.2): bare line
-//! feeds, folded headers, two lengths, and a length beside chunked are errors. Memory is bounded by
-//! [`Limits`]: a head that is longer is an error, and a body is handed on as it comes.
+//! [`RequestDecoder`] and [`ResponseDecoder`] turn received bytes into [`RequestFrame`]s and
+//! [`ResponseFrame`]s; [`RequestEncoder`] and [`ResponseEncoder`] do the reverse. Both decoders are strict where
+//! leniency would let two parties read one message differently (request smuggling; RFC 9112, section 11.2): bare
+//! line feeds, folded headers, two content-lengths, and a content-length with a transfer-encoding are errors.
+//! [`Limits`] bounds the memory: a longer head is an error, and a body is passed on in parts as it arrives.
 
 mod body;
 mod decode;
@@ -20,14 +20,14 @@
 
 use bytes::Bytes;
 
-/// Bounds on what one connection may make a decoder keep.
+/// Bounds on the memory that a decoder uses for one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest head, bytes, line ends included.
+    /// Longest head in bytes, line ends included.
     pub max_head_bytes: usize,
-    /// Most header lines.
+    /// Most header lines of one head; at most 128 are accepted whatever the value.
     pub max_headers: usize,
-    /// Most bytes of one body frame; what is longer comes in several.
+    /// Most bytes of one data frame; longer bodies are split.
     pub max_frame_bytes: usize,
 }
 
@@ -37,63 +37,63 @@
     }
 }
 
-/// A part of a request, in order: one head, any number of data frames, one end.
+/// Part of a request, in this order: one head, any number of data frames, one end.
 #[derive(Clone, Debug)]
 pub enum RequestFrame {
-    /// The head.
+    /// Request line and headers.
     Head(RequestHead),
-    /// A part of the body.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The request is whole.
+    /// End of the request.
     End,
 }
 
-/// A part of a response, in order: one head, any number of data frames, one end.
+/// Part of a response, in this order: one head, any number of data frames, one end.
 #[derive(Clone, Debug)]
 pub enum ResponseFrame {
-    /// The head.
+    /// Status line and headers.
     Head(ResponseHead),
-    /// A part of the body.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The response is whole.
+    /// End of the response.
     End,
 }
 
-/// Why bytes are no message. A connection on which one came up must be closed: where the next message
-/// begins is unknown.
+/// Error in received bytes. The connection must then be closed: the start of the next message is unknown.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[allow(missing_docs)] // the messages say it
+#[allow(missing_docs)] // The error texts describe the variants.
 pub enum ParseError {
-    #[error("not an HTTP head: {0}")]
+    #[error("invalid HTTP head: {0}")]
     Syntax(&'static str),
-    #[error("a line feed without a carriage return")]
+    #[error("line feed without a carriage return")]
     BareLineFeed,
-    #[error("a folded header line")]
+    #[error("folded header line")]
     FoldedHeader,
-    #[error("head over {0} bytes")]
+    #[error("head longer than {0} bytes")]
     HeadTooLong(usize),
     #[error("more than {0} header lines")]
     TooManyHeaders(usize),
     #[error("more than one content-length")]
     DuplicateContentLength,
-    #[error("a content-length beside transfer-encoding")]
+    #[error("content-length together with transfer-encoding")]
     ContentLengthWithTransferEncoding,
-    #[error("content-length is no number")]
+    #[error("content-length is not a number")]
     InvalidContentLength,
-    #[error("a transfer-encoding other than chunked")]
+    #[error("transfer-encoding other than chunked")]
     UnsupportedTransferEncoding,
-    #[error("not HTTP/1.0 or HTTP/1.1")]
+    #[error("version other than HTTP/1.0 and HTTP/1.1")]
     UnsupportedVersion,
-    #[error("no single host header")]
+    #[error("missing or repeated host header")]
     InvalidHost,
-    #[error("not a chunk: {0}")]
+    #[error("invalid chunk: {0}")]
     InvalidChunk(&'static str),
-    #[error("the peer closed inside a message")]
+    #[error("connection closed inside a message")]
     UnexpectedEof,
 }
 
 impl ParseError {
-    /// The status that a server answers with before it closes (RFC 9110, section 15; RFC 6585, section 5).
+    /// Status of the response that a server sends before it closes the connection (RFC 9110, section 15;
+    /// RFC 6585, section 5).
     pub fn status(&self) -> u16 {
         match self {
             ParseError::HeadTooLong(_) | ParseError::TooManyHeaders(_) => 431,
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -4,39 +4,39 @@
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC};
 use std::fmt;
 
-/// Characters that stand for themselves in a query value (RFC 3986, section 2.3).
-const KEEP: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
+/// Characters to percent-encode: all but the unreserved ones (RFC 3986, section 2.3).
+const RESERVED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
 
-/// A path with an optional query, as it came. Always ASCII without controls or blanks.
+/// Path with an optional query, as received. Always ASCII without control characters and spaces.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Target {
     text: Bytes,
-    /// Length of the path: up to the question mark.
-    path: usize,
+    /// Length of the path in bytes, up to the question mark.
+    path_length: usize,
 }
 
 impl Target {
-    /// Takes a target in origin form; `None` for any other form, and for characters that no target holds.
+    /// Parses a target in origin form; `None` for any other form and for characters that are not allowed.
     pub fn parse(text: Bytes) -> Option<Target> {
-        let fine = text.first() == Some(&b'/') && text.iter().all(|b| b.is_ascii_graphic());
-        let path = text.iter().position(|b| *b == b'?').unwrap_or(text.len());
-        fine.then_some(Target { text, path })
+        let valid = text.first() == Some(&b'/') && text.iter().all(|b| b.is_ascii_graphic());
+        let path_length = text.iter().position(|b| *b == b'?').unwrap_or(text.len());
+        valid.then_some(Target { text, path_length })
     }
 
-    /// The whole of it.
+    /// Path and query.
     pub fn as_str(&self) -> &str {
-        // `parse` takes ASCII only.
+        // `parse` accepts ASCII only, so this cannot fail.
         std::str::from_utf8(&self.text).unwrap_or("/")
     }
 
-    /// The path.
+    /// Path without the query.
     pub fn path(&self) -> &str {
-        &self.as_str()[..self.path]
+        &self.as_str()[..self.path_length]
     }
 
-    /// The value of a query argument, still percent-encoded.
+    /// Value of the first query argument with this name, still percent-encoded.
     pub fn query_argument(&self, name: &str) -> Option<&str> {
-        let query = self.as_str().get(self.path + 1..)?;
+        let query = self.as_str().get(self.path_length + 1..)?;
         query.split('&').find_map(|pair| match pair.split_once('=') {
             Some((key, value)) if key == name => Some(value),
             _ => None,
@@ -50,12 +50,12 @@
     }
 }
 
-/// Undoes percent-encoding; `None` where the bytes are no UTF-8. A plus sign stays one (RFC 3986).
+/// Decodes percent-encoding; `None` if the result is not UTF-8. A plus sign stays a plus sign (RFC 3986).
 pub fn percent_decode(text: &str) -> Option<String> {
     percent_encoding::percent_decode_str(text).decode_utf8().ok().map(|s| s.into_owned())
 }
 
-/// Percent-encodes all but the unreserved characters.
+/// Percent-encodes all characters but the unreserved ones.
 pub fn percent_encode(text: &str) -> String {
-    percent_encoding::utf8_percent_encode(text, KEEP).to_string()
+    percent_encoding::utf8_percent_encode(text, RESERVED).to_string()
 }
--- a/crates/http/tests/codec.rs
+++ b/crates/http/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The codec against RFC 9112: what is refused, what goes through, and that pieces make no difference.
+//! Decoders and encoders against RFC 9112: rejected and accepted messages, and independence of how the bytes
+//! are split into reads.
 
 use bytes::BytesMut;
 use cloverhollow_http::*;
@@ -10,12 +11,12 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]))
 }
 
-/// All frames as words, or the first error.
-fn requests(pieces: &[&[u8]], limits: Limits) -> Result<Vec<String>, ParseError> {
-    let (mut d, mut buf, mut out) = (RequestDecoder::new(limits), BytesMut::new(), Vec::new());
+/// Decoded frames as text, with adjacent data frames joined, or the first error.
+fn decode_requests(pieces: &[&[u8]], limits: Limits) -> Result<Vec<String>, ParseError> {
+    let (mut decoder, mut buf, mut out) = (RequestDecoder::new(limits), BytesMut::new(), Vec::new());
     for piece in pieces {
         buf.extend_from_slice(piece);
-        while let Some(frame) = d.decode(&mut buf)? {
+        while let Some(frame) = decoder.decode(&mut buf)? {
             match frame {
                 RequestFrame::Head(h) => out.push(format!("{} {:?}", h.method.name(), h.target)),
                 RequestFrame::Data(b) => match out.last_mut() {
@@ -29,12 +30,12 @@
     Ok(out)
 }
 
-fn one(text: &str) -> Result<Vec<String>, ParseError> {
-    requests(&[text.as_bytes()], Limits::default())
+fn decode_request(text: &str) -> Result<Vec<String>, ParseError> {
+    decode_requests(&[text.as_bytes()], Limits::default())
 }
 
 #[test]
-fn what_two_parties_could_read_differently_is_refused() {
+fn ambiguous_requests_are_rejected() {
     let cases = [
         ("GET / HTTP/1.1\nhost: a\n\n", ParseError::BareLineFeed),
         ("GET / HTTP/1.1\r\nhost: a\nx: y\r\n\r\n", ParseError::BareLineFeed),
@@ -69,46 +70,46 @@
         ("GET / HTTP/1.1\r\nhost : a\r\n\r\n", ParseError::Syntax("header name")),
         ("\r\n\r\n", ParseError::Syntax("empty first line")),
     ];
-    for (text, fault) in cases {
-        assert_eq!(one(text), Err(fault), "{text:?}");
+    for (text, error) in cases {
+        assert_eq!(decode_request(text), Err(error), "{text:?}");
     }
 }
 
 #[test]
-fn heads_past_a_bound_get_their_own_status() {
+fn heads_over_a_limit_map_to_status_431() {
     let limits = Limits { max_head_bytes: 200, max_headers: 3, max_frame_bytes: 10 };
     let long = format!("GET /{} HTTP/1.1\r\nhost: a\r\n\r\n", "x".repeat(300));
-    let fault = requests(&[long.as_bytes()], limits).unwrap_err();
-    assert_eq!((fault.status(), &fault), (431, &ParseError::HeadTooLong(200)));
+    let error = decode_requests(&[long.as_bytes()], limits).unwrap_err();
+    assert_eq!((error.status(), &error), (431, &ParseError::HeadTooLong(200)));
     let many = "GET / HTTP/1.1\r\nhost: a\r\na: 1\r\nb: 2\r\nc: 3\r\n\r\n";
-    assert_eq!(requests(&[many.as_bytes()], limits).unwrap_err().status(), 431);
-    // A head that never ends is cut off at the bound, not kept.
-    let drip = vec![b"x".as_slice(); 400];
-    assert_eq!(requests(&drip, limits).unwrap_err(), ParseError::HeadTooLong(200));
+    assert_eq!(decode_requests(&[many.as_bytes()], limits).unwrap_err().status(), 431);
+    // A head that never ends is rejected at the limit and not buffered further.
+    let endless = vec![b"x".as_slice(); 400];
+    assert_eq!(decode_requests(&endless, limits).unwrap_err(), ParseError::HeadTooLong(200));
 }
 
 #[test]
-fn bodies_come_whole_by_length_and_in_chunks() {
+fn bodies_are_decoded_by_length_and_by_chunks() {
     let by_length =
         "POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 5\r\n\r\nhelloGET /b HTTP/1.1\r\nhost: h\r\n\r\n";
-    assert_eq!(one(by_length).unwrap(), ["POST /a", "body hello", "end", "GET /b", "end"]);
+    assert_eq!(decode_request(by_length).unwrap(), ["POST /a", "body hello", "end", "GET /b", "end"]);
     let chunked = "POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nt: 1\r\n\r\n";
-    assert_eq!(one(chunked).unwrap(), ["POST /a", "body hello", "end"]);
+    assert_eq!(decode_request(chunked).unwrap(), ["POST /a", "body hello", "end"]);
     let head = "POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n";
     for bad in ["zz\r\n", "3\r\nhello", "-1\r\n", "ffffffffffffffffff\r\n", "1\nx"] {
-        assert!(one(&format!("{head}{bad}")).is_err(), "{bad:?}");
+        assert!(decode_request(&format!("{head}{bad}")).is_err(), "{bad:?}");
     }
-    assert!(one(&format!("{head}{}", "1;".repeat(300))).is_err(), "an endless chunk line");
+    assert!(decode_request(&format!("{head}{}", "1;".repeat(300))).is_err(), "a chunk line without end");
 }
 
 #[test]
-fn responses_are_framed_by_their_request_and_status() {
+fn response_framing_depends_on_request_method_and_status() {
     let read = |method: &Method, text: &str, closed: bool| {
-        let (mut d, mut buf) = (ResponseDecoder::new(Limits::default()), BytesMut::from(text));
-        d.set_request_method(method);
+        let (mut decoder, mut buf) = (ResponseDecoder::new(Limits::default()), BytesMut::from(text));
+        decoder.set_request_method(method);
         let mut out = Vec::new();
         loop {
-            let next = if closed { d.decode_eof(&mut buf) } else { d.decode(&mut buf) };
+            let next = if closed { decoder.decode_eof(&mut buf) } else { decoder.decode(&mut buf) };
             match next {
                 Ok(Some(ResponseFrame::Head(h))) => out.push(format!("{} {:?}", h.status, h.framing)),
                 Ok(Some(ResponseFrame::Data(b))) => out.push(String::from_utf8_lossy(&b).into_owned()),
@@ -142,19 +143,19 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn encoder_replaces_framing_headers_and_targets_parse() {
     let mut head = ResponseHead::new(200, 0);
     head.framing = Framing::UntilClose;
     head.headers.push("x-a", "1");
     head.headers.push("Connection", "keep-alive, x");
-    let (mut e, mut buf) = (ResponseEncoder::default(), BytesMut::new());
-    for f in [
+    let (mut encoder, mut buf) = (ResponseEncoder::default(), BytesMut::new());
+    for frame in [
         ResponseFrame::Head(head),
         ResponseFrame::Data("hey".into()),
         ResponseFrame::Data("".into()),
         ResponseFrame::End,
     ] {
-        e.encode(&f, &mut buf);
+        encoder.encode(&frame, &mut buf);
     }
     let text = String::from_utf8(buf.to_vec()).unwrap();
     assert_eq!(text, "HTTP/1.1 200 OK\r\nx-a: 1\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhey\r\n0\r\n\r\n");
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn pieces_make_no_difference_and_nothing_panics() {
+fn decoding_does_not_depend_on_how_bytes_are_split() {
     let token = prop_oneof![
         Just("GET /a HTTP/1.1\r\n".to_string()),
         Just("POST /b HTTP/1.1\r\n".to_string()),
@@ -186,11 +187,11 @@
     let limits = Limits { max_head_bytes: 120, max_headers: 4, max_frame_bytes: 2 };
     runner(3000)
         .run(&(texts, 1usize..9), |(bytes, size)| {
-            let whole = requests(&[&bytes], limits);
+            let unsplit = decode_requests(&[&bytes], limits);
             let pieces: Vec<&[u8]> = bytes.chunks(size).collect();
-            prop_assert_eq!(whole, requests(&pieces, limits));
-            let (mut d, mut buf) = (ResponseDecoder::new(limits), BytesMut::from(&bytes[..]));
-            while let Ok(Some(_)) = d.decode_eof(&mut buf) {}
+            prop_assert_eq!(unsplit, decode_requests(&pieces, limits));
+            let (mut decoder, mut buf) = (ResponseDecoder::new(limits), BytesMut::from(&bytes[..]));
+            while let Ok(Some(_)) = decoder.decode_eof(&mut buf) {}
             Ok(())
         })
         .unwrap();
