--- a/crates/hints/src/cmsd.rs
+++ b/crates/hints/src/cmsd.rs
@@ -1,8 +1,8 @@
 //! Common Media Server Data (CTA-5006): hints of servers and intermediaries in their responses.
 //!
-//! `CMSD-Static` is a dictionary set by the origin and unchanged along the path. `CMSD-Dynamic` is a list with
-//! one member per intermediary, the one nearest to the origin first (section 3). Custom keys with the prefix
-//! `com.cloverhollow-` carry values for which the standard has no key.
+//! `CMSD-Static` is a dictionary set by the origin and unchanged along the path. `CMSD-Dynamic` is a list
+//! with one member per intermediary, the one nearest to the origin first (section 3). Custom keys with the
+//! prefix `com.cloverhollow-` carry values for which the standard has no key.
 
 use crate::faults::{Fault, Faults};
 use sfv::{
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -40,7 +40,8 @@
 }
 
 impl BodyDecoder {
-    /// Creates a decoder for a body with this framing. Each [`BodyPart::Data`] holds at most `max_part_bytes`.
+    /// Creates a decoder for a body with this framing. Each [`BodyPart::Data`] holds at most
+    /// `max_part_bytes`.
     pub fn new(framing: Framing, max_part_bytes: usize) -> Self {
         let state = match framing {
             Framing::Empty => State::Length(0),
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -37,8 +37,8 @@
         first.and_then(|(_, v)| std::str::from_utf8(v).ok())
     }
 
-    /// Values of all lines with this name, joined with commas (RFC 9110, section 5.3). Lines that are not UTF-8
-    /// are skipped; `None` if no line is left.
+    /// Values of all lines with this name, joined with commas (RFC 9110, section 5.3). Lines that are not
+    /// UTF-8 are skipped; `None` if no line is left.
     pub fn joined(&self, name: &str) -> Option<String> {
         let mut out: Option<String> = None;
         for value in self.get_all(name).filter_map(|v| std::str::from_utf8(v).ok()) {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,11 @@
 //! HTTP/1.1 (RFC 9112) as bytes in and frames out, without any I/O.
 //!
 //! [`RequestDecoder`] and [`ResponseDecoder`] turn received bytes into [`RequestFrame`]s and
-//! [`ResponseFrame`]s; [`RequestEncoder`] and [`ResponseEncoder`] do the reverse. Both decoders are strict where
-//! leniency would let two parties read one message differently (request smuggling; RFC 9112, section 11.2): bare
-//! line feeds, folded headers, two content-lengths, and a content-length with a transfer-encoding are errors.
-//! [`Limits`] bounds the memory: a longer head is an error, and a body is passed on in parts as it arrives.
+//! [`ResponseFrame`]s; [`RequestEncoder`] and [`ResponseEncoder`] do the reverse. Both decoders are strict
+//! where leniency would let two parties read one message differently (request smuggling; RFC 9112, section
+//! 11.2): bare line feeds, folded headers, two content-lengths, and a content-length with a transfer-encoding
+//! are errors. [`Limits`] bounds the memory: a longer head is an error, and a body is passed on in parts as
+//! it arrives.
 
 mod body;
 mod decode;
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,11 +1,11 @@
-//! All settings, each with its unit, range and default.
+//! Types of all settings, one module per section. Each field states its unit, range and default.
 
 mod classes;
 mod discovery;
 mod fleet;
 mod listen;
 mod members;
-mod out;
+mod out_of_service;
 mod peers;
 mod persistence;
 mod rules;
@@ -16,7 +16,7 @@
 pub use fleet::{Fleet, Reports, ServerKind};
 pub use listen::{Admin, Listen};
 pub use members::{MemberKey, Members};
-pub use out::OutOfService;
+pub use out_of_service::OutOfService;
 pub use peers::Peers;
 pub use persistence::{Durability, Persistence, Restarts};
 pub use rules::{Limits, RetryBudget, Rules};
@@ -26,83 +26,86 @@
 use crate::ranged::{Int, Name};
 use serde::Deserialize;
 
+/// One hour in milliseconds, the upper bound of long times.
 const HOUR_MS: u64 = 3_600_000;
+/// One minute in milliseconds, the upper bound of short times.
 const MINUTE_MS: u64 = 60_000;
 
-/// Everything that a front is told at its start. An empty file is valid: all defaults.
+/// Settings of a front. An empty file is valid and gives all defaults.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FrontSettings {
-    /// Who this front is.
+    /// Identity of this front.
     pub instance: Instance,
-    /// Where viewers call.
+    /// Listener for viewers.
     pub listen: Listen,
-    /// Where operators ask.
+    /// Listener for operators and for requests of other fronts.
     #[serde(rename = "side")]
     pub admin: Admin,
-    /// Where the server list comes from.
+    /// Source of the server list.
     pub discovery: Discovery,
-    /// What this front keeps over a stop.
+    /// State that this front retains over restarts.
     #[serde(rename = "keep")]
     pub persistence: Persistence,
-    /// What this front asks of and tells its peers.
+    /// Exchange of knowledge with other fronts.
     pub peers: Peers,
-    /// Who else is there, by datagrams between fronts.
+    /// Membership of fronts, by datagrams between them.
     pub members: Members,
-    /// How many fronts may be out at once.
+    /// Limits on the number of fronts that are out of service at the same time.
     #[serde(rename = "out")]
     pub out_of_service: OutOfService,
-    /// How this front talks to servers.
+    /// Connections and requests to servers.
     pub servers: Servers,
-    /// Bounds on sessions.
+    /// Limits on sessions.
     pub sessions: Sessions,
-    /// How a request's path tells class, tenant and title.
+    /// Derivation of class, tenant and title from a request path.
     pub mapping: Mapping,
-    /// The classes of sessions; at least one.
+    /// Classes of sessions; 1 to 64.
     pub classes: Classes,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The ladder of rates, lowest first; at least one rung.
+    /// Ladder of bit rates, lowest first; 1 to 64 rungs.
     pub ladder: Ladder,
-    /// What is known of the servers beforehand.
+    /// Static facts about the servers.
     pub fleet: Fleet,
-    /// How late and how often load is told.
+    /// Delay and rate of load reports.
     #[serde(rename = "reports")]
     pub load_reports: Reports,
-    /// What the decisions may use.
+    /// Limits on attempts and refusals.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the placement rules.
     pub rules: Rules,
 }
 
-/// Who this front is.
+/// Identity of this front.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Instance {
-    /// Its name in CMSD, Via and logs. Default `front-1`.
+    /// Name in CMSD, `Via` and logs. Default `front-1`.
     pub name: Name,
-    /// Its hall. Default `hall-1`.
+    /// Zone that this front runs in. Default `hall-1`.
     #[serde(rename = "hall")]
     pub zone: Name,
-    /// How many fronts send into the fleet, this one included; 1 to 10,000. Default 1.
+    /// Number of fronts that send set-ups into the fleet, this one included; 1 to 10,000. Default 1.
     #[serde(rename = "fronts")]
     pub front_count: Int<1, 10_000>,
-    /// Its number among them, from 0, another at each: by it they take turns at cold servers where not all may send at once.
-    /// Left out: it has no turn then. Default none.
+    /// Index of this front among all fronts, from 0, different at each front; 0 to 9,999. It determines the
+    /// time slots in which this front may use a cold server when not all fronts may at once. Absent: no time
+    /// slot. Default absent.
     #[serde(rename = "number")]
     pub front_index: Option<Int<0, 9_999>>,
-    /// Seed of the decisions' random numbers; 0: a new one at each start. Default 0.
+    /// Seed of the policy's random numbers; 0 draws a new seed at each start. Default 0.
     pub seed: Int<0, 9_007_199_254_740_991>,
 }
 
 impl Default for Instance {
     fn default() -> Self {
         Instance {
-            name: Name::of("front-1"),
-            zone: Name::of("hall-1"),
-            front_count: Int::of(1),
+            name: Name::new("front-1"),
+            zone: Name::new("hall-1"),
+            front_count: Int::new(1),
             front_index: None,
-            seed: Int::of(0),
+            seed: Int::new(0),
         }
     }
 }
--- a/crates/settings/src/fields/classes.rs
+++ b/crates/settings/src/fields/classes.rs
@@ -1,57 +1,57 @@
-//! Classes, tenants and rungs.
+//! Classes, tenants and the ladder of bit rates.
 
 use super::MINUTE_MS;
 use crate::ranged::{Decimal, Int, Millis, Name};
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-/// A class of sessions.
+/// Class of sessions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, as the path has it.
+    /// Name in the request path.
     pub name: Name,
-    /// A set-up is wanted playing within this time; 1 ms to a minute.
+    /// Time within which a set-up should lead to playing; 1 ms to 1 minute.
     #[serde(rename = "aim_ms")]
     pub target_setup_ms: Millis<1, MINUTE_MS>,
-    /// The viewer gives up after this time; 1 ms to a minute.
+    /// Time after which the viewer gives up; 1 ms to 1 minute.
     pub deadline_ms: Millis<1, MINUTE_MS>,
-    /// Paid at set-up: may be set up once only. Default false.
+    /// True if a set-up is paid and may be executed only once. Default false.
     #[serde(rename = "paid", default)]
     pub at_most_once: bool,
     /// Worth of one second at a rung of worth 1; 0 to 1,000. Default 1.
-    #[serde(default = "one")]
+    #[serde(default = "default_worth")]
     pub worth: Decimal<0, 1_000_000>,
-    /// Its rates over those of the ladder; 0.01 to 100. Default 1.
-    #[serde(rename = "scale", default = "unit")]
+    /// Factor between the class's bit rates and those of the ladder; 0.01 to 100. Default 1.
+    #[serde(rename = "scale", default = "default_rate_scale")]
     pub rate_scale: Decimal<10, 100_000>,
-    /// The lowest rung it may play at, from 0. Default 0.
+    /// Lowest rung that the class may play at, from 0. Default 0.
     #[serde(rename = "floor", default)]
     pub min_rung: Option<Spanned<usize>>,
-    /// The highest rung it may play at. Default the highest of the ladder.
+    /// Highest rung that the class may play at. Default: the highest of the ladder.
     #[serde(rename = "top", default)]
     pub max_rung: Option<Spanned<usize>>,
-    /// Whether its titles are live. Default false.
+    /// True if the titles of the class are live streams. Default false.
     #[serde(default)]
     pub live: bool,
-    /// Sessions of one title that this front may hold; 0: no cap; 0 to 1,000,000. Default 0.
-    #[serde(rename = "seats", default = "none")]
+    /// Most sessions of one title at this front; 0 for no limit; 0 to 1,000,000. Default 0.
+    #[serde(rename = "seats", default = "no_session_limit")]
     pub max_sessions_per_title: Int<0, 1_000_000>,
 }
 
-fn one() -> Decimal<0, 1_000_000> {
-    Decimal::of(1.0)
+fn default_worth() -> Decimal<0, 1_000_000> {
+    Decimal::new(1.0)
 }
 
-fn unit() -> Decimal<10, 100_000> {
-    Decimal::of(1.0)
+fn default_rate_scale() -> Decimal<10, 100_000> {
+    Decimal::new(1.0)
 }
 
-fn none() -> Int<0, 1_000_000> {
-    Int::of(0)
+fn no_session_limit() -> Int<0, 1_000_000> {
+    Int::new(0)
 }
 
-/// The classes.
+/// Classes of sessions. Default: one class `video`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(transparent)]
 pub struct Classes(pub Vec<Class>);
@@ -59,54 +59,54 @@
 impl Default for Classes {
     fn default() -> Self {
         Classes(vec![Class {
-            name: Name::of("video"),
-            target_setup_ms: Millis::of(1_000),
-            deadline_ms: Millis::of(3_000),
+            name: Name::new("video"),
+            target_setup_ms: Millis::new(1_000),
+            deadline_ms: Millis::new(3_000),
             at_most_once: false,
-            worth: one(),
-            rate_scale: unit(),
+            worth: default_worth(),
+            rate_scale: default_rate_scale(),
             min_rung: None,
             max_rung: None,
             live: false,
-            max_sessions_per_title: none(),
+            max_sessions_per_title: no_session_limit(),
         }])
     }
 }
 
-/// A tenant.
+/// Tenant with its quota.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as the path has it.
+    /// Name in the request path.
     pub name: Name,
-    /// Sessions a second within its share, over all fronts; 0: not told; 0 to 1,000,000. Default 0.
-    #[serde(rename = "quota", default = "no_quota")]
+    /// Sessions per second within the quota, over all fronts; 0 if unknown; 0 to 1,000,000. Default 0.
+    #[serde(rename = "quota", default = "unknown_quota")]
     pub quota_per_s: Decimal<0, 1_000_000_000>,
 }
 
-fn no_quota() -> Decimal<0, 1_000_000_000> {
-    Decimal::of(0.0)
+fn unknown_quota() -> Decimal<0, 1_000_000_000> {
+    Decimal::new(0.0)
 }
 
 /// One rung of the ladder.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rung {
-    /// Its rate, kB a second; 0.001 to 1,000,000.
+    /// Bit rate in kB/s; 0.001 to 1,000,000.
     #[serde(rename = "rate_kb")]
     pub kb_per_s: Decimal<1, 1_000_000_000>,
-    /// What it earns, the top being 1; 0 to 1.
+    /// Worth of playing at the rung; 0 to 1, 1 for the highest.
     pub worth: Decimal<0, 1_000>,
 }
 
-/// The ladder.
+/// Ladder of bit rates, lowest first. Default: 200, 500, 1,000 and 2,000 kB/s.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(transparent)]
 pub struct Ladder(pub Vec<Rung>);
 
 impl Default for Ladder {
     fn default() -> Self {
-        let rung = |rate, worth| Rung { kb_per_s: Decimal::of(rate), worth: Decimal::of(worth) };
+        let rung = |rate, worth| Rung { kb_per_s: Decimal::new(rate), worth: Decimal::new(worth) };
         Ladder(vec![rung(200.0, 0.25), rung(500.0, 0.55), rung(1000.0, 0.8), rung(2000.0, 1.0)])
     }
 }
--- a/crates/settings/src/fields/members.rs
+++ b/crates/settings/src/fields/members.rs
@@ -1,4 +1,4 @@
-//! The other fronts.
+//! Settings of the membership of fronts.
 
 use super::{HOUR_MS, MINUTE_MS};
 use crate::ranged::{Int, Millis};
@@ -6,42 +6,44 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Who else is there, by datagrams between fronts; off without `listen`.
+/// Membership of fronts, by datagrams between them; disabled without `listen`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Members {
-    /// Where this front's datagrams come in (UDP). Default none: nothing is sent, nothing taken.
+    /// UDP address on which datagrams are received. Absent: none are sent or received. Default absent.
     pub listen: Option<SocketAddr>,
-    /// Where the others send them, if not there. Default: where they come in.
+    /// Address to which other members send datagrams. Default: the address of `listen`.
     #[serde(rename = "address")]
     pub advertised_address: Option<SocketAddr>,
-    /// Such addresses of some members, this one's own or not.
+    /// Such addresses of some members; may include the own one; 0 to 64. Default empty.
     pub seeds: Vec<SocketAddr>,
-    /// Such addresses of the witnesses, the same at all fronts, three or five. Default none: nobody counts, and
-    /// `instance.fronts` holds.
+    /// Such addresses of the witnesses, equal at all fronts, three or five. Default empty: fronts are not
+    /// counted, and `instance.fronts` applies.
     pub witnesses: Vec<SocketAddr>,
-    /// Keys that datagrams are taken under; the first one seals. At least one where `listen` is set.
+    /// Keys accepted for datagrams; the first one seals outgoing datagrams; 1 to 16 if `listen` is set.
+    /// Default empty.
     pub keys: Vec<MemberKey>,
-    /// A member is probed so often; 20 ms to a minute. Default 500 ms.
+    /// Interval between probes; 20 ms to 1 minute. Default 500 ms.
     #[serde(rename = "probe_ms")]
     pub probe_interval_ms: Millis<20, MINUTE_MS>,
-    /// Others are asked to probe one that has not answered within this; 5 ms to a minute, at most half of
-    /// `probe_ms`. Default 150 ms.
+    /// Time after which other members are asked to probe a member that has not answered; 5 ms to 1 minute, at
+    /// most half of `probe_ms`. Default 150 ms.
     #[serde(rename = "answer_ms")]
     pub probe_timeout_ms: Millis<5, MINUTE_MS>,
-    /// A member in doubt may object for so long; 50 ms to ten minutes. Default 3 s.
+    /// Time for which a suspected member may refute the suspicion; 50 ms to 10 minutes. Default 3 s.
     #[serde(rename = "suspicion_ms")]
     pub suspicion_timeout_ms: Millis<50, 600_000>,
-    /// News are passed on so often; 10 ms to a minute. Default 200 ms.
+    /// Interval at which updates are passed on; 10 ms to 1 minute. Default 200 ms.
     #[serde(rename = "gossip_ms")]
     pub gossip_interval_ms: Millis<10, MINUTE_MS>,
-    /// Members that are gone, and seeds, are called on so often; 100 ms to an hour. Default 2 s.
+    /// Interval at which members that are gone, and seeds, are contacted; 100 ms to 1 hour. Default 2 s.
     #[serde(rename = "heal_ms")]
     pub reconnect_interval_ms: Millis<100, HOUR_MS>,
-    /// One member is asked for all that it holds so often; 100 ms to an hour. Default 10 s.
+    /// Interval at which one member is asked for its complete state; 100 ms to 1 hour. Default 10 s.
     #[serde(rename = "sync_ms")]
     pub sync_interval_ms: Millis<100, HOUR_MS>,
-    /// How long a count holds, the same at all fronts; 200 ms to an hour. Default 4 s.
+    /// Duration of the lease by which the witnesses count a front, equal at all fronts; 200 ms to 1 hour.
+    /// Default 4 s.
     #[serde(rename = "lease_ms")]
     pub lease_duration_ms: Millis<200, HOUR_MS>,
 }
@@ -54,23 +56,23 @@
             seeds: Vec::new(),
             witnesses: Vec::new(),
             keys: Vec::new(),
-            probe_interval_ms: Millis::of(500),
-            probe_timeout_ms: Millis::of(150),
-            suspicion_timeout_ms: Millis::of(3_000),
-            gossip_interval_ms: Millis::of(200),
-            reconnect_interval_ms: Millis::of(2_000),
-            sync_interval_ms: Millis::of(10_000),
-            lease_duration_ms: Millis::of(4_000),
+            probe_interval_ms: Millis::new(500),
+            probe_timeout_ms: Millis::new(150),
+            suspicion_timeout_ms: Millis::new(3_000),
+            gossip_interval_ms: Millis::new(200),
+            reconnect_interval_ms: Millis::new(2_000),
+            sync_interval_ms: Millis::new(10_000),
+            lease_duration_ms: Millis::new(4_000),
         }
     }
 }
 
-/// A key of the members' datagrams.
+/// Key that seals datagrams between members.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberKey {
-    /// Its id; 0 to 4,294,967,295.
+    /// Identifier of the key; 0 to 4,294,967,295.
     pub id: Int<0, 4_294_967_295>,
-    /// The file with its secret: 16 bytes or more as hexadecimal digits, for its owner alone.
+    /// File with the secret: 16 bytes or more as hexadecimal digits, accessible by its owner only.
     pub file: PathBuf,
 }
--- a/crates/settings/src/fields/rules.rs
+++ b/crates/settings/src/fields/rules.rs
@@ -1,20 +1,20 @@
-//! Limits and rules of the decisions.
+//! Limits and parameters of the placement rules.
 
 use super::{HOUR_MS, MINUTE_MS};
 use crate::ranged::{Decimal, Int, Millis};
 use serde::Deserialize;
 
-/// What the decisions may use.
+/// Limits on attempts and refusals.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
     /// Most attempts for one session; 1 to 16. Default 3.
     #[serde(rename = "attempts")]
     pub max_attempts: Int<1, 16>,
-    /// What a refused viewer is asked to wait, 0 to a minute. Default 1 s.
+    /// Retry-after delay for refused viewers; 0 to 1 minute. Default 1 s.
     #[serde(rename = "hold_off_ms")]
     pub max_retry_after_ms: Millis<0, MINUTE_MS>,
-    /// Worth of traffic past a tenant's share, as a part of the usual; 0 to 1. Default 1.
+    /// Worth of traffic beyond a tenant's quota, as a fraction of its ordinary worth; 0 to 1. Default 1.
     #[serde(rename = "over_share_worth")]
     pub over_quota_worth: Decimal<0, 1_000>,
 }
@@ -22,50 +22,50 @@
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            max_attempts: Int::of(3),
-            max_retry_after_ms: Millis::of(1_000),
-            over_quota_worth: Decimal::of(1.0),
+            max_attempts: Int::new(3),
+            max_retry_after_ms: Millis::new(1_000),
+            over_quota_worth: Decimal::new(1.0),
         }
     }
 }
 
-/// A budget of further attempts.
+/// Budget of retries, counted over a sliding window.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudget {
-    /// Attempts always allowed; 0 to 1,000,000.
+    /// Retries always allowed within the window; 0 to 1,000,000.
     #[serde(rename = "free")]
     pub base: Int<0, 1_000_000>,
-    /// Attempts allowed for each session taken; 0 to 10.
+    /// Further retries allowed for each session accepted within the window; 0 to 10.
     #[serde(rename = "share")]
     pub per_session: Decimal<0, 10_000>,
-    /// The span both are counted over; 100 ms to an hour.
+    /// Length of the window; 100 ms to 1 hour.
     #[serde(rename = "span_ms")]
     pub window_ms: Millis<100, HOUR_MS>,
 }
 
-/// The figures of the rules.
+/// Parameters of the placement rules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Nothing new to a draining or gone server later than this; 0 to a minute. Default 250 ms.
+    /// Time after which a draining or gone server must get no new set-up; 0 to 1 minute. Default 250 ms.
     pub drain_grace_ms: Millis<0, MINUTE_MS>,
-    /// A server is warm at the latest so long after its start; 0 to an hour. Default 12 s.
+    /// Time after its start within which a server becomes warm; 0 to 1 hour. Default 12 s.
     #[serde(rename = "cold_ms")]
     pub warm_up_ms: Millis<0, HOUR_MS>,
-    /// The part of its capacity at which it starts; 0.001 to 1. Default 0.4.
+    /// Fraction of its capacity that a server has at its start; 0.001 to 1. Default 0.4.
     #[serde(rename = "cold_from")]
     pub cold_capacity_fraction: Decimal<1, 1_000>,
-    /// A cold server falls over at this multiple of its present capacity; 0.1 to 100. Default 2.
+    /// Multiple of its present capacity at which a cold server is overloaded; 0.1 to 100. Default 2.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: Decimal<100, 100_000>,
-    /// ...kept up over this span; 1 ms to a minute. Default 1 s.
+    /// Window over which the set-ups of a cold server are counted; 1 ms to 1 minute. Default 1 s.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: Millis<1, MINUTE_MS>,
-    /// So many set-ups more in that span than the multiple gives make it fall; 0 to 1,000. Default 1.
+    /// Set-ups in the window beyond the multiple at which a cold server is overloaded; 0 to 1,000. Default 1.
     #[serde(rename = "fall_slack")]
     pub overload_margin: Decimal<0, 1_000>,
-    /// The budget of further attempts; absent: none. Default none.
+    /// Budget of retries; absent: retries are not limited. Default absent.
     #[serde(rename = "ration")]
     pub retry_budget: Option<RetryBudget>,
 }
@@ -73,12 +73,12 @@
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            drain_grace_ms: Millis::of(250),
-            warm_up_ms: Millis::of(12_000),
-            cold_capacity_fraction: Decimal::of(0.4),
-            overload_multiple: Decimal::of(2.0),
-            overload_window_ms: Millis::of(1_000),
-            overload_margin: Decimal::of(1.0),
+            drain_grace_ms: Millis::new(250),
+            warm_up_ms: Millis::new(12_000),
+            cold_capacity_fraction: Decimal::new(0.4),
+            overload_multiple: Decimal::new(2.0),
+            overload_window_ms: Millis::new(1_000),
+            overload_margin: Decimal::new(1.0),
             retry_budget: None,
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The front's settings: YAML, checked whole before anything starts.
+//! Settings of a front, as a YAML file that is checked completely before the front starts.
 //!
-//! An error names file, line, field and allowed range. [`FrontSettings::decisions`] gives the decision
-//! module's settings; nothing is decided here.
+//! An error names file, line, field and allowed range. [`FrontSettings::decisions`] converts the settings to
+//! those of the placement policy.
 
 mod check;
 mod fields;
@@ -16,35 +16,35 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What is wrong with a file of settings.
+/// Error in a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// A field is wrong.
+    /// A field is invalid.
     #[error("{file}:{line}: {field}: {what}")]
     Field {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The line, from 1; 0 where a default is at odds with another field.
+        /// Line number from 1; 0 if the fault concerns several fields or a default.
         line: u64,
-        /// The field's path.
+        /// Path of the field, such as `listen.head_ms`.
         field: String,
-        /// What is wrong, with the allowed range.
+        /// Description of the fault, with the allowed range.
         what: String,
     },
 }
 
-/// Reads any YAML text into a checked type; errors name file, line, field and range.
+/// Parses a YAML text into a checked type. `file` is the name used in errors.
 ///
 /// # Errors
-/// The first fault found.
+/// The first fault of the text, with file, line, field and range.
 pub fn read_yaml<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, SettingsError> {
     let mut field = String::new();
     let read = serde_saphyr::with_deserializer_from_str(text, |d| {
@@ -56,12 +56,12 @@
     read.map_err(|e| {
         let bare = e.without_snippet();
         let line = e.location().map_or(0, |l| l.line());
-        // The message without its own location and snippet: both are told apart here.
+        // The location and snippet within the message are removed: the error has its own fields for them.
         let text = bare.to_string();
         let what = text.lines().next().unwrap_or_default();
         let what = what.strip_prefix("error: ").unwrap_or(what);
         let what = what.split_once(" at line ").map_or(what, |(w, _)| w).trim_end();
-        // What programmers could do about it is no help to operators.
+        // Removes a hint of the parser that addresses programmers, not operators.
         let what = what.split(", set DuplicateKeyPolicy").next().unwrap_or(what);
         let field =
             if field.is_empty() || field == "." || field == "?" { "file".into() } else { field.clone() };
@@ -69,10 +69,10 @@
     })
 }
 
-/// Reads a file by [`read_yaml`].
+/// Parses a YAML file with [`read_yaml`].
 ///
 /// # Errors
-/// The file cannot be read, or its first fault.
+/// The file cannot be read, or the first fault of its text.
 pub fn read_file<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -82,27 +82,27 @@
 }
 
 impl FrontSettings {
-    /// Reads and checks a file.
+    /// Parses and checks a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, or its first fault.
+    /// The file cannot be read, or the first fault of its text.
     pub fn load(path: &Path) -> Result<FrontSettings, SettingsError> {
         let settings: FrontSettings = read_file(path)?;
         settings.check(&path.display().to_string())?;
         Ok(settings)
     }
 
-    /// Reads and checks a text.
+    /// Parses and checks a settings text. `file` is the name used in errors.
     ///
     /// # Errors
-    /// Its first fault.
+    /// The first fault of the text.
     pub fn parse(file: &str, text: &str) -> Result<FrontSettings, SettingsError> {
         let settings: FrontSettings = read_yaml(file, text)?;
         settings.check(file)?;
         Ok(settings)
     }
 
-    /// What fields say together.
+    /// Checks the constraints between fields.
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         let fault = |line: u64, field: String, what: String| {
             Err(SettingsError::Field { file: file.into(), line, field, what })
@@ -123,27 +123,31 @@
         if classes.is_empty() || classes.len() > 64 {
             return fault(0, "classes".into(), format!("{} classes are not in 1..=64", classes.len()));
         }
-        for (i, c) in classes.iter().enumerate() {
-            if classes[..i].iter().any(|d| d.name == c.name) {
-                return fault(0, format!("classes[{i}].name"), format!("`{}` comes twice", c.name.as_str()));
+        for (i, class) in classes.iter().enumerate() {
+            if classes[..i].iter().any(|other| other.name == class.name) {
+                return fault(
+                    0,
+                    format!("classes[{i}].name"),
+                    format!("duplicate `{}`", class.name.as_str()),
+                );
             }
-            for (field, rung) in [("floor", &c.min_rung), ("top", &c.max_rung)] {
+            for (field, rung) in [("floor", &class.min_rung), ("top", &class.max_rung)] {
                 if let Some(r) = rung.as_ref().filter(|r| r.value >= rungs) {
                     let what = format!("{} is not in 0..={}", r.value, rungs - 1);
                     return fault(r.referenced.line(), format!("classes[{i}].{field}"), what);
                 }
             }
-            if let (Some(floor), Some(top)) = (&c.min_rung, &c.max_rung) {
+            if let (Some(floor), Some(top)) = (&class.min_rung, &class.max_rung) {
                 if floor.value > top.value {
-                    let what = format!("{} is over the class's top {}", floor.value, top.value);
+                    let what = format!("{} is greater than the class's top {}", floor.value, top.value);
                     return fault(floor.referenced.line(), format!("classes[{i}].floor"), what);
                 }
             }
-            if c.target_setup_ms.get() > c.deadline_ms.get() {
-                return fault(0, format!("classes[{i}].aim_ms"), "over the class's deadline_ms".into());
+            if class.target_setup_ms.get() > class.deadline_ms.get() {
+                return fault(0, format!("classes[{i}].aim_ms"), "greater than deadline_ms".into());
             }
-            if self.sessions.deadline_margin_ms.get() >= c.deadline_ms.get() {
-                return fault(0, "sessions.margin_ms".into(), format!("not under classes[{i}].deadline_ms"));
+            if self.sessions.deadline_margin_ms.get() >= class.deadline_ms.get() {
+                return fault(0, "sessions.margin_ms".into(), format!("not below classes[{i}].deadline_ms"));
             }
         }
         let (copies, cells) = (&self.fleet.cells_per_title, self.fleet.cell_count.get());
@@ -157,26 +161,26 @@
         for (field, path) in
             [("discovery.path", &self.discovery.path), ("mapping.reports", &self.mapping.report_path)]
         {
-            let fine = path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic() && b != b'?');
-            if !fine {
+            let valid = path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic() && b != b'?');
+            if !valid {
                 return fault(
                     0,
                     field.into(),
-                    format!("`{path}` is no path: it begins with `/`, without blanks"),
+                    format!("`{path}` is not a path: it must begin with `/` and contain no spaces"),
                 );
             }
         }
         self.check_members(file)?;
         if self.discovery.min_retry_delay_ms.get() > self.discovery.max_retry_delay_ms.get() {
-            return fault(0, "discovery.again_ms".into(), "over discovery.again_most_ms".into());
+            return fault(0, "discovery.again_ms".into(), "greater than discovery.again_most_ms".into());
         }
         Ok(())
     }
 
-    /// What the decision module is told at its start.
+    /// Settings of the placement policy.
     pub fn decisions(&self) -> cloverhollow::Settings {
         let highest = self.ladder.0.len() - 1;
-        let class = |c: &Class| cloverhollow::Class {
+        let convert_class = |c: &Class| cloverhollow::Class {
             target_setup_time: c.target_setup_ms.get(),
             at_most_once: c.at_most_once,
             worth: c.worth.get(),
@@ -186,11 +190,11 @@
             live: c.live,
             max_sessions_per_title: c.max_sessions_per_title.as_usize(),
         };
-        let r = &self.rules;
+        let rules = &self.rules;
         cloverhollow::Settings {
             front_count: self.instance.front_count.as_usize(),
             front_index: self.instance.front_index.map(|n| n.as_usize()),
-            classes: self.classes.0.iter().map(class).collect(),
+            classes: self.classes.0.iter().map(convert_class).collect(),
             ladder: (self.ladder.0.iter())
                 .map(|r| cloverhollow::Rung { rate_kb_per_s: r.kb_per_s.get(), worth: r.worth.get() })
                 .collect(),
@@ -214,16 +218,16 @@
                 max_retry_after: self.limits.max_retry_after_ms.get(),
             },
             rules: cloverhollow::Rules {
-                warm_up: r.warm_up_ms.get(),
-                cold_capacity_fraction: r.cold_capacity_fraction.get(),
-                overload_multiple: r.overload_multiple.get(),
-                overload_window: r.overload_window_ms.get(),
-                overload_margin: r.overload_margin.get(),
+                warm_up: rules.warm_up_ms.get(),
+                cold_capacity_fraction: rules.cold_capacity_fraction.get(),
+                overload_multiple: rules.overload_multiple.get(),
+                overload_window: rules.overload_window_ms.get(),
+                overload_margin: rules.overload_margin.get(),
                 overload_margin_root: 0.0,
-                retry_budget: r.retry_budget.as_ref().map(|r| cloverhollow::RetryBudget {
-                    base: r.base.get() as f64,
-                    per_request: r.per_session.get(),
-                    window: r.window_ms.get(),
+                retry_budget: rules.retry_budget.as_ref().map(|budget| cloverhollow::RetryBudget {
+                    base: budget.base.get() as f64,
+                    per_request: budget.per_session.get(),
+                    window: budget.window_ms.get(),
                 }),
                 list_refresh_interval: Duration::ZERO,
             },
@@ -231,12 +235,12 @@
         }
     }
 
-    /// Index of a kind that the list names; an unknown one counts as the first.
+    /// Index of a kind of server by its name in the server list; 0 for an unknown name.
     pub fn kind_index(&self, name: &str) -> usize {
         self.fleet.kinds.iter().position(|k| k.name.as_str() == name).unwrap_or(0)
     }
 
-    /// The cell that a title begins at: equal on all fronts.
+    /// First of the cells that hold a title, equal on all fronts; 0 if there are no cells.
     pub fn home_cell(&self, title: u64) -> u64 {
         title.checked_rem(self.fleet.cell_count.get()).unwrap_or(0)
     }
--- a/crates/settings/src/mapping.rs
+++ b/crates/settings/src/mapping.rs
@@ -1,74 +1,75 @@
-//! How a request's path tells class, tenant and title. Translation by the operator's own scheme: any number
-//! of literal segments and one placeholder each, as `/{tenant}/{class}/{title}/{object}`.
+//! Mapping from a request path to class, tenant and title, by a pattern of the operator: literal segments and
+//! at most one placeholder of each kind, such as `/{tenant}/{class}/{title}/{object}`.
 
 use serde::{de, Deserialize, Deserializer};
 
-/// A placeholder of the pattern.
+/// Placeholder of a pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
+enum Placeholder {
     Tenant,
     Class,
     Title,
-    /// Whatever it is: not looked at.
+    /// Any segment; its text is ignored.
     Any,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Segment {
     Literal(String),
-    Hole(Part),
+    Placeholder(Placeholder),
 }
 
-/// Which text names the title.
+/// Source of the title of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TitleFrom {
-    /// The path's `{title}`: what is fetched, whatever the hints say.
+    /// The `{title}` of the path, whatever the hints contain.
     #[default]
     Path,
-    /// CMCD `cid`, and the path's `{title}` where that is absent.
+    /// The CMCD `cid`, or the `{title}` of the path if that is absent.
     Cid,
 }
 
-/// The pattern; its last segment may be `{object}`, which takes the rest of the path.
+/// Pattern of request paths. The last segment may be `{object}`, which matches the rest of the path.
 #[derive(Clone, Debug)]
 pub struct Pattern {
     segments: Vec<Segment>,
-    open: bool,
+    /// True if the pattern ends with `{object}`.
+    matches_rest: bool,
 }
 
-/// What a path told.
+/// Segments of a path that matched the placeholders of a pattern.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PathMatch<'a> {
-    /// The tenant's segment.
+    /// Segment that names the tenant; `None` if the pattern has no `{tenant}`.
     pub tenant: Option<&'a str>,
-    /// The class's segment.
+    /// Segment that names the class; `None` if the pattern has no `{class}`.
     pub class: Option<&'a str>,
-    /// The title's segment.
+    /// Segment that names the title.
     pub title: Option<&'a str>,
 }
 
 impl Pattern {
-    /// Reads a pattern.
+    /// Parses a pattern.
     ///
     /// # Errors
-    /// In words, what is wrong with it.
+    /// A description of the first fault of the pattern.
     pub fn parse(text: &str) -> Result<Pattern, String> {
-        let rest = text.strip_prefix('/').ok_or("a pattern begins with `/`")?;
+        let rest = text.strip_prefix('/').ok_or("a pattern must begin with `/`")?;
         let parts: Vec<&str> = rest.split('/').collect();
-        let (mut segments, mut open) = (Vec::new(), false);
+        let (mut segments, mut matches_rest) = (Vec::new(), false);
         for (i, part) in parts.iter().enumerate() {
-            let hole = match *part {
-                "{tenant}" => Part::Tenant,
-                "{class}" => Part::Class,
-                "{title}" => Part::Title,
-                "{any}" => Part::Any,
+            let placeholder = match *part {
+                "{tenant}" => Placeholder::Tenant,
+                "{class}" => Placeholder::Class,
+                "{title}" => Placeholder::Title,
+                "{any}" => Placeholder::Any,
                 "{object}" if i + 1 == parts.len() => {
-                    open = true;
+                    matches_rest = true;
                     continue;
                 }
-                "{object}" => return Err("`{object}` takes the rest: it must come last".into()),
-                "" => return Err("an empty segment".into()),
+                "{object}" => return Err("`{object}` matches the rest of the path: it must come last".into()),
+                "" => return Err("a segment is empty".into()),
                 p if p.contains(['{', '}']) => {
                     return Err(format!(
                         "`{p}` is none of {{tenant}}, {{class}}, {{title}}, {{any}}, {{object}}"
@@ -79,19 +80,19 @@
                     continue;
                 }
             };
-            let again = Segment::Hole(hole);
-            if hole != Part::Any && segments.contains(&again) {
-                return Err(format!("`{part}` comes twice"));
+            let segment = Segment::Placeholder(placeholder);
+            if placeholder != Placeholder::Any && segments.contains(&segment) {
+                return Err(format!("`{part}` occurs twice"));
             }
-            segments.push(again);
+            segments.push(segment);
         }
-        if !segments.contains(&Segment::Hole(Part::Title)) {
+        if !segments.contains(&Segment::Placeholder(Placeholder::Title)) {
             return Err("`{title}` is missing".into());
         }
-        Ok(Pattern { segments, open })
+        Ok(Pattern { segments, matches_rest })
     }
 
-    /// Takes a path apart; `None` where it does not fit. No allocation.
+    /// Matches a path against the pattern; `None` if it does not match. Does not allocate.
     pub fn match_path<'a>(&self, path: &'a str) -> Option<PathMatch<'a>> {
         let mut parts = path.strip_prefix('/')?.split('/');
         let mut found = PathMatch::default();
@@ -100,13 +101,13 @@
             match segment {
                 Segment::Literal(text) if text == part => {}
                 Segment::Literal(_) => return None,
-                Segment::Hole(Part::Tenant) => found.tenant = Some(part),
-                Segment::Hole(Part::Class) => found.class = Some(part),
-                Segment::Hole(Part::Title) => found.title = Some(part),
-                Segment::Hole(Part::Any) => {}
+                Segment::Placeholder(Placeholder::Tenant) => found.tenant = Some(part),
+                Segment::Placeholder(Placeholder::Class) => found.class = Some(part),
+                Segment::Placeholder(Placeholder::Title) => found.title = Some(part),
+                Segment::Placeholder(Placeholder::Any) => {}
             }
         }
-        (self.open || parts.next().is_none()).then_some(found)
+        (self.matches_rest || parts.next().is_none()).then_some(found)
     }
 }
 
@@ -117,32 +118,36 @@
     }
 }
 
-/// How a request's path tells class, tenant and title.
+/// Derivation of class, tenant and title from a request path.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Mapping {
-    /// The pattern of paths; others get 404. Default `/{tenant}/{class}/{title}/{object}`.
+    /// Pattern of request paths; other paths get status 404. Default `/{tenant}/{class}/{title}/{object}`.
     pub path: Pattern,
-    /// Which text names the title: `path` or `cid`. Default `path`.
+    /// Source of the title: `path` or `cid`. Default `path`.
     pub title_from: TitleFrom,
-    /// Path that takes event and response reports by POST. Default `/cmcd`.
+    /// Path that accepts event and response reports by POST. Default `/cmcd`.
     #[serde(rename = "reports")]
     pub report_path: String,
 }
 
 impl Default for Mapping {
     fn default() -> Self {
-        let segments =
-            vec![Segment::Hole(Part::Tenant), Segment::Hole(Part::Class), Segment::Hole(Part::Title)];
+        let segments = vec![
+            Segment::Placeholder(Placeholder::Tenant),
+            Segment::Placeholder(Placeholder::Class),
+            Segment::Placeholder(Placeholder::Title),
+        ];
         Mapping {
-            path: Pattern { segments, open: true },
+            path: Pattern { segments, matches_rest: true },
             title_from: TitleFrom::Path,
             report_path: "/cmcd".into(),
         }
     }
 }
 
-/// A title as the decisions know it: equal for equal names on every front and machine (FNV-1a, 64 bit).
+/// Identifier of a title for the placement policy: the 64-bit FNV-1a hash of the name, equal on every front
+/// and machine.
 pub fn title_id(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, b| (hash ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/settings/src/ranged.rs
+++ b/crates/settings/src/ranged.rs
@@ -1,30 +1,30 @@
-//! Values that know their allowed range: a settings file that leaves it fails at the line.
+//! Types of values with an allowed range, which is checked when a settings file is parsed.
 
 use serde::{de, Deserialize, Deserializer};
 use std::time::Duration;
 
-/// A whole number from `MIN` to `MAX`.
+/// Whole number from `MIN` to `MAX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Int<const MIN: u64, const MAX: u64>(u64);
 
 impl<const MIN: u64, const MAX: u64> Int<MIN, MAX> {
-    /// A default; the caller vouches that it is in range (a test reads all defaults back).
-    pub(crate) const fn of(n: u64) -> Self {
+    /// Creates a default value. The caller must ensure that it is in range.
+    pub(crate) const fn new(n: u64) -> Self {
         Int(n)
     }
 
-    /// The number.
+    /// Value as a plain number.
     pub fn get(self) -> u64 {
         self.0
     }
 
-    /// The number, for counts and indices.
+    /// Value as a count or index; saturates at `usize::MAX`.
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
 }
 
-/// The nearest number in range.
+/// Clamps to the nearest value in range.
 impl<const MIN: u64, const MAX: u64> From<u64> for Int<MIN, MAX> {
     fn from(n: u64) -> Self {
         Int(n.clamp(MIN, MAX))
@@ -41,22 +41,22 @@
     }
 }
 
-/// A span in whole milliseconds from `MIN` to `MAX`. Its default is the shortest.
+/// Duration of `MIN` to `MAX` whole milliseconds. The default is the shortest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Millis<const MIN: u64, const MAX: u64>(u64);
 
 impl<const MIN: u64, const MAX: u64> Millis<MIN, MAX> {
-    /// A default; the caller vouches that it is in range.
-    pub(crate) const fn of(ms: u64) -> Self {
+    /// Creates a default value. The caller must ensure that it is in range.
+    pub(crate) const fn new(ms: u64) -> Self {
         Millis(ms)
     }
 
-    /// So much later, the longest at most.
-    pub fn saturating_add(self, by: Duration) -> Self {
-        Millis((self.0 + by.as_millis() as u64).min(MAX))
+    /// Adds a duration; saturates at `MAX`.
+    pub fn saturating_add(self, duration: Duration) -> Self {
+        Millis((self.0 + duration.as_millis() as u64).min(MAX))
     }
 
-    /// The span.
+    /// Value as a duration.
     pub fn get(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -78,34 +78,34 @@
     }
 }
 
-/// A number with decimals from `MIN` to `MAX` thousandths.
+/// Decimal number from `MIN` to `MAX` thousandths.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decimal<const MIN: u64, const MAX: u64>(f64);
 
 impl<const MIN: u64, const MAX: u64> Decimal<MIN, MAX> {
-    /// A default; the caller vouches that it is in range.
-    pub(crate) const fn of(n: f64) -> Self {
+    /// Creates a default value. The caller must ensure that it is in range.
+    pub(crate) const fn new(n: f64) -> Self {
         Decimal(n)
     }
 
-    /// The least in range.
+    /// Smallest value in range.
     pub const fn min() -> Self {
         Decimal(MIN as f64 / 1e3)
     }
 
-    /// 1, or the nearest in range.
+    /// 1, or the nearest value in range.
     pub const fn one() -> Self {
-        let (lo, hi) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
-        Decimal(if lo > 1.0 {
-            lo
-        } else if hi < 1.0 {
-            hi
+        let (min, max) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
+        Decimal(if min > 1.0 {
+            min
+        } else if max < 1.0 {
+            max
         } else {
             1.0
         })
     }
 
-    /// The number.
+    /// Value as a plain number.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -114,25 +114,25 @@
 impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for Decimal<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let n = f64::deserialize(d)?;
-        let (lo, hi) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
-        if (lo..=hi).contains(&n) {
+        let (min, max) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
+        if (min..=max).contains(&n) {
             Ok(Decimal(n))
         } else {
-            Err(de::Error::custom(format_args!("{n} is not in {lo}..={hi}")))
+            Err(de::Error::custom(format_args!("{n} is not in {min}..={max}")))
         }
     }
 }
 
-/// A name: 1 to 64 letters, digits, dots, dashes and underscores.
+/// Name of 1 to 64 letters, digits, dots, hyphens and underscores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Name(String);
 
 impl Name {
-    pub(crate) fn of(text: &str) -> Self {
+    pub(crate) fn new(text: &str) -> Self {
         Name(text.to_string())
     }
 
-    /// Its text.
+    /// Name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -141,12 +141,12 @@
 impl<'de> Deserialize<'de> for Name {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = String::deserialize(d)?;
-        let fine = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_');
-        if (1..=64).contains(&text.len()) && text.bytes().all(fine) {
+        let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_');
+        if (1..=64).contains(&text.len()) && text.bytes().all(allowed) {
             Ok(Name(text))
         } else {
             Err(de::Error::custom(format_args!(
-                "`{text}` is no name: 1 to 64 of letters, digits, `-`, `.` and `_`"
+                "`{text}` is not a name: 1 to 64 of letters, digits, `-`, `.` and `_`"
             )))
         }
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,13 +1,13 @@
-//! Settings: what is read, and that each fault names file, line, field and range.
+//! Parsing of settings: defaults, errors with file, line, field and range, and path patterns.
 
 use cloverhollow_settings::*;
 
-fn fault(text: &str) -> String {
+fn error_text(text: &str) -> String {
     FrontSettings::parse("a.yaml", text).expect_err(text).to_string()
 }
 
 #[test]
-fn an_empty_file_is_all_defaults_and_they_pass_their_own_check() {
+fn empty_file_gives_defaults_that_pass_the_checks() {
     let s = FrontSettings::parse("a.yaml", "{}").unwrap();
     let d = s.decisions();
     assert_eq!((d.front_count, d.classes.len(), d.ladder.len(), d.limits.max_attempts), (1, 1, 4, 3));
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn faults_name_file_line_field_and_range() {
+fn errors_name_file_line_field_and_range() {
     let cases = [
         ("instance:\n  fronts: 0\n", "a.yaml:2: instance.fronts: 0 is not in 1..=10000"),
         ("instance:\n  name: front-9\n  fronts: -3\n", "a.yaml:3: instance.fronts: -3 is not in 1..=10000"),
         ("listen:\n  head_ms: 3\n", "a.yaml:2: listen.head_ms: 3 ms is not in 10..=60000 ms"),
         ("rules:\n  cold_from: 1.5\n", "a.yaml:2: rules.cold_from: 1.5 is not in 0.001..=1"),
-        ("instance:\n  name: \"a b\"\n", "a.yaml:2: instance.name: `a b` is no name"),
+        ("instance:\n  name: \"a b\"\n", "a.yaml:2: instance.name: `a b` is not a name"),
         (
             "classes:\n- name: a\n  aim_ms: 10\n  deadline_ms: 900\n  top: 9\n",
             "a.yaml:5: classes[0].top: 9 is not in 0..=3",
@@ -40,10 +40,10 @@
         ("classes: []\n", "classes: 0 classes are not in 1..=64"),
         ("members:\n  listen: 127.0.0.1:0\n", "members.keys: 0 keys are not in 1..=16"),
         ("members:\n  lease_ms: 20\n", "a.yaml:2: members.lease_ms: 20 ms is not in 200..=3600000 ms"),
-        ("members: {answer_ms: 300}\n", "members.answer_ms: over half of members.probe_ms"),
+        ("members: {answer_ms: 300}\n", "members.answer_ms: greater than half of members.probe_ms"),
         (
             "members: {witnesses: [127.0.0.1:1, 127.0.0.1:1]}\n",
-            "members.witnesses[1]: 127.0.0.1:1 comes twice",
+            "members.witnesses[1]: 127.0.0.1:1 occurs twice",
         ),
         ("out:\n  fleet: 21\n", "a.yaml:2: out.fleet: 21 is not in 0..=20"),
         ("out:\n  hall: 0\n", "a.yaml:2: out.hall: 0 is not in 1..=20"),
@@ -56,15 +56,15 @@
         ("listen: [\n", "a.yaml:"),
         ("side: {}\nside: {}\n", "a.yaml:2: file: duplicate mapping key: side"),
     ];
-    for (text, want) in cases {
-        let said = fault(text);
-        assert!(said.contains(want), "{text:?}\n  said   {said}\n  wanted {want}");
-        assert!(said.starts_with("a.yaml:") && !said.contains('\n'), "{said}");
+    for (text, expected) in cases {
+        let error = error_text(text);
+        assert!(error.contains(expected), "{text:?}\n  error    {error}\n  expected {expected}");
+        assert!(error.starts_with("a.yaml:") && !error.contains('\n'), "{error}");
     }
 }
 
 #[test]
-fn patterns_take_paths_apart_by_their_holes() {
+fn patterns_match_paths_by_their_placeholders() {
     let p = Pattern::parse("/v1/{tenant}/{class}/{any}/{title}/{object}").unwrap();
     let f = p.match_path("/v1/club/clip/x/t-1/a/b.m4s").unwrap();
     assert_eq!((f.tenant, f.class, f.title), (Some("club"), Some("clip"), Some("t-1")));
