--- a/crates/session/tests/common/mod.rs
+++ b/crates/session/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use cloverhollow::{ListMode, SessionPolicy};
 use cloverhollow_hints::cmcd::Record;
 use cloverhollow_hints::{reconcile, Faults};
-use cloverhollow_recovery::Deed;
+use cloverhollow_recovery::LogRecord;
 use cloverhollow_session::*;
 use cloverhollow_settings::FrontSettings;
 use std::sync::Arc;
@@ -74,7 +74,7 @@
 }
 
 /// Log records among the commands.
-pub fn persisted_records(commands: &[Command<u32, &'static str>]) -> Vec<Deed> {
+pub fn persisted_records(commands: &[Command<u32, &'static str>]) -> Vec<LogRecord> {
     let record = |c: &Command<u32, &'static str>| match c {
         Command::Persist(record) => Some(record.clone()),
         _ => None,
