--- a/crates/decisions/src/interface/mod.rs
+++ b/crates/decisions/src/interface/mod.rs
@@ -54,13 +54,15 @@
 pub struct ListEntry {
     /// Identifier of the server.
     pub server: ServerId,
-    /// Key that has the same value at all fronts; several servers may share one.
+    /// Key that has the same value at all fronts, from which they compute time slots at a cold server. Several
+    /// servers may share one.
     pub shared_key: u64,
     /// Cell of the server.
     pub cell: u64,
     /// Index of the server's kind.
     pub kind: usize,
-    /// Weight of the server.
+    /// Capacity of the server's link in units of [`Settings::link_unit_kb_per_s`]; used only if
+    /// [`Settings::sized_by_weight`] is set.
     pub weight: f64,
     /// State of the server.
     pub state: ServerState,
@@ -138,7 +140,7 @@
 pub struct PeerReport {
     /// Identifier of the server.
     pub server: ServerId,
-    /// State of the server, from a newer list than this front's own.
+    /// State of the server, from a newer list than this front's own; `Serving` changes nothing.
     pub state: ServerState,
     /// Time of the server's last start; zero if that was long ago or is unknown.
     pub started_at: Duration,
--- a/crates/decisions/src/policy/account.rs
+++ b/crates/decisions/src/policy/account.rs
@@ -7,7 +7,7 @@
 pub(super) struct FadingValue(pub(super) f64, pub(super) Duration);
 
 impl FadingValue {
-    pub(super) fn at(self, now: Duration) -> f64 {
+    pub(super) fn value_at(self, now: Duration) -> f64 {
         self.0 * (1.0 - secs(now.saturating_sub(self.1)) / secs(FADE_TIME)).max(0.0)
     }
 }
@@ -26,8 +26,10 @@
     /// Number of this front's sessions at all servers at that time.
     pub(super) sessions_at_reading: f64,
     pub(super) read_at: Option<Duration>,
-    /// Demand added by short delivery; a later reading of an intermittent link does not clear it.
+    /// Least demand of the other fronts that follows from short delivery. A reading within one reporting round
+    /// does not clear it, because an intermittent link may read low in between.
     pub(super) short_delivery: FadingValue,
+    /// Time at which this front last stepped sessions down on the link or uplink.
     pub(super) last_step_down_at: Duration,
     /// Demand of the other fronts by the last estimate.
     pub(super) others: f64,
@@ -35,8 +37,9 @@
 
 impl LinkAccount {
     /// Estimates the demand that other fronts have added since the reading, assuming that they act as this
-    /// front does. In a rush they add sessions over the whole fleet (one session may be chance); or the
-    /// fronts that received the same reading, which are those with a session here, add sessions here.
+    /// front does. The larger of two estimates counts: in a rush all fronts add sessions over the whole fleet
+    /// (one session of this front may be chance); or the fronts that received the same reading, which are
+    /// those with a session here, add sessions here.
     pub(super) fn growth_of_others(&self, peers: &PeerEstimate) -> f64 {
         let here = (self.reserved - self.own_at_reading).max(0.0)
             * (self.others_at_reading * peers.sessions_per_link).clamp(0.0, peers.peer_count);
@@ -55,12 +58,12 @@
             return typical
                 .max(self.reserved * (typical * peers.sessions_per_link).clamp(0.0, peers.peer_count));
         };
-        let weight = FadingValue(1.0, t).at(now);
+        let weight = FadingValue(1.0, t).value_at(now);
         (self.others_at_reading + self.growth_of_others(peers)) * weight + typical * (1.0 - weight)
     }
 
     pub(super) fn utilization(&self, now: Duration) -> f64 {
-        self.reserved + self.others.max(self.short_delivery.at(now))
+        self.reserved + self.others.max(self.short_delivery.value_at(now))
     }
 
     /// Records this front's demand; `retention` is how far back reports may refer.
@@ -80,7 +83,8 @@
 
     /// Applies a reading taken `age` ago. A reading below the utilization limit ends short delivery if it
     /// comes more than a reporting round after the last report of it; otherwise the link would stay empty
-    /// long after a temporary loss of capacity. A link whose capacity varies more slowly is filled again.
+    /// long after a temporary loss of capacity. A link whose capacity comes and goes more slowly than that is
+    /// filled again in between.
     pub(super) fn apply_reading(
         &mut self,
         now: Duration,
@@ -101,7 +105,7 @@
         self.read_at.map(|_| self.others_at_reading + self.own_at_reading)
     }
 
-    /// Marks the link as full after short delivery; the mark fades.
+    /// Makes the link count as full after short delivery; the effect fades.
     pub(super) fn mark_full(&mut self, now: Duration) {
         self.short_delivery = FadingValue(1.0 - self.reserved, now);
     }
@@ -127,7 +131,7 @@
     pub(super) own_sessions: f64,
     /// Capacity of all links, or of all uplinks, kB a second.
     pub(super) total_capacity: f64,
-    /// Number of mean sessions that fill this link or uplink.
+    /// Number of sessions of the mean rate that fill this link or uplink.
     pub(super) sessions_per_link: f64,
     /// Mean rate of a session, kB a second.
     pub(super) session_rate: f64,
@@ -177,7 +181,7 @@
     for (capacity, account) in accounts {
         let others =
             (account.others_at_reading + account.growth_of_others(&peers(*capacity))).clamp(0.0, 1.0);
-        let weight = capacity * account.read_at.map_or(0.0, |t| FadingValue(1.0, t).at(now));
+        let weight = capacity * account.read_at.map_or(0.0, |t| FadingValue(1.0, t).value_at(now));
         (sum, squares, weights) =
             (sum + weight * others, squares + weight * others * others, weights + weight);
     }
--- a/crates/decisions/src/policy/ledger.rs
+++ b/crates/decisions/src/policy/ledger.rs
@@ -12,7 +12,7 @@
 
     /// Returns the present capacity of a rack's uplink, less what short delivery has shown to be missing.
     pub(super) fn uplink_capacity(&self, rack: &Rack) -> f64 {
-        (rack.uplink_capacity * (1.0 - rack.missing_capacity.at(self.now))).max(EPSILON)
+        (rack.uplink_capacity * (1.0 - rack.missing_capacity.value_at(self.now))).max(EPSILON)
     }
 
     /// Returns the rack of a cell; `None` if uplinks do not limit.
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -17,11 +17,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Utilization that a link or uplink may reach (the paper's example for an operator's threshold).
+/// Utilization that a link or uplink may reach: an example of an operator's threshold.
 const MAX_UTILIZATION: f64 = 0.95;
-/// Time over which a reading fades to the typical demand, or to zero (the design's figure).
+/// Time over which a reading fades to the typical demand, or to zero.
 const FADE_TIME: Duration = Duration::from_secs(30);
-/// Shortest time between two steps down of one session (the design's figure).
+/// Shortest time between two steps down of one session.
 const STEP_DOWN_INTERVAL: Duration = Duration::from_secs(30);
 /// Delivered share below which a link counts as short (the bound below which servers report it).
 const MIN_DELIVERED_SHARE: f64 = 0.98;
@@ -62,6 +62,7 @@
     /// Capacity of the link when the server is warm, kB a second.
     rated_capacity: f64,
     own: OwnDemand,
+    /// Start of the server's warm-up: its last known start, or its first success after a possible restart.
     cold_since: Option<Duration>,
     /// The server failed in a way that may mean a restart, so it counts as cold until it works again.
     may_have_restarted: bool,
@@ -115,7 +116,8 @@
     actions: Vec<Action>,
     servers: BTreeMap<ServerId, Server>,
     racks: BTreeMap<u64, Rack>,
-    /// Number of this front's sessions, with its recent past.
+    /// Number of this front's sessions at all servers, as the `reserved` value of an account that also records
+    /// its recent past. The other fields of the account are unused.
     session_count: LinkAccount,
     sessions: BTreeMap<RequestId, Session>,
     /// Times of the requests accepted within the window of the retry budget.
--- a/crates/decisions/src/policy/reports.rs
+++ b/crates/decisions/src/policy/reports.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl SessionPolicy {
-    /// Applies a load report of the given age. It does not raise sessions, only session reports do: of many
-    /// noisy readings the lowest would decide.
+    /// Applies a load report of the given age. Only session reports raise adopted sessions: if each reading
+    /// could, the lowest of many noisy ones would decide.
     pub(super) fn apply_load_report(&mut self, server_id: ServerId, age: Duration, load: LoadReport) {
         let (now, round) = (self.now, self.settings.report_interval + self.settings.report_delay);
         let sessions = self.session_count.own_demand_at(now.saturating_sub(age));
@@ -68,7 +68,7 @@
                     // readings of the links are old.
                     let missing = 1.0 - (rack.uplink.reserved + rack.uplink.others) * share;
                     rack.missing_capacity = FadingValue(
-                        missing.clamp(0.0, MAX_UTILIZATION).max(rack.missing_capacity.at(now)),
+                        missing.clamp(0.0, MAX_UTILIZATION).max(rack.missing_capacity.value_at(now)),
                         now,
                     );
                 }
--- a/crates/decisions/src/policy/servers.rs
+++ b/crates/decisions/src/policy/servers.rs
@@ -34,7 +34,7 @@
         self.estimated_at = None;
     }
 
-    /// Clears the failures of the server's previous process.
+    /// Clears the failures of the server's previous process and counts the server as cold from its new start.
     pub(super) fn server_restarted(&mut self, server_id: ServerId, started_at: Duration) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&server_id) else { return };
--- a/crates/drill/src/bin/cloverhollow-drill.rs
+++ b/crates/drill/src/bin/cloverhollow-drill.rs
@@ -101,13 +101,13 @@
     let mut drill = Drill::default();
     let mut out = std::io::stdout().lock();
     for (n, line) in std::io::stdin().lock().lines().enumerate() {
-        let at = |e: &dyn std::fmt::Display| format!("line {}: {e}", n + 1);
-        let line = line.map_err(|e| at(&e))?;
+        let with_line_number = |e: &dyn std::fmt::Display| format!("line {}: {e}", n + 1);
+        let line = line.map_err(|e| with_line_number(&e))?;
         if line.trim().is_empty() {
             continue;
         }
-        if let Some(reply) = drill.handle_line(&line).map_err(|e| at(&e))? {
-            out.write_all(reply.as_bytes()).and_then(|()| out.flush()).map_err(|e| at(&e))?;
+        if let Some(reply) = drill.handle_line(&line).map_err(|e| with_line_number(&e))? {
+            out.write_all(reply.as_bytes()).and_then(|()| out.flush()).map_err(|e| with_line_number(&e))?;
         }
     }
     if drill.in_batch {
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Description of what is wrong with a line.
+/// Description of an error in a line.
 pub type WireError = String;
 
 fn millis(d: Duration) -> f64 {
@@ -18,6 +18,7 @@
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
+/// Entry of a `pool` message: one server.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct WireEntry {
@@ -33,6 +34,7 @@
     boot_time: Option<f64>,
 }
 
+/// Fields of the messages with a session request: `call` and `adopted`.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct WireCall {
@@ -54,7 +56,7 @@
     repeat: bool,
 }
 
-/// Fields of the messages on a session: `head-received`, `note` and `attempt-end`.
+/// Fields of the messages on a session: `head-received`, `note` and `attempt-end`. `hop` is the attempt's index.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct WireSessionEvent {
--- a/crates/drill/tests/drill.rs
+++ b/crates/drill/tests/drill.rs
@@ -17,7 +17,7 @@
 
 const BEGIN: &str = r#"{"verb":"begin-batch","clock":1000.5}"#;
 const END: &str = r#"{"verb":"eob"}"#;
-const ON: &str = r#"{"verb":"power-on","manager-id":"manager_3","prng":7,"setup":{"balancers":1,"news":[1],
+const POWER_ON: &str = r#"{"verb":"power-on","manager-id":"manager_3","prng":7,"setup":{"balancers":1,"news":[1],
 "discovery":"pushed","domain":{"class-live":[false],"class-top":[1],"floor-by-class":[0],"join":1.0,
 "ladder-worth":[0.3,1.0],"level-kb":[200.0,1000.0],"link-unit-kb":4000.0,"places":2,"places-by-kind":[20],
 "scale-by-class":[1.0],"seats":[0],"shelves":0},"grades":[{"aim":1000.0,"deadline":3000.0,
@@ -38,7 +38,7 @@
 #[test]
 fn batches_are_answered_with_the_expected_lines() {
     let full = r#"{"verb":"attempt-end","manager-id":"manager_3","ref":42,"hop":0,"server":5,"how":"full","cost-time":1.0,"gauge":{"x0":1.4,"concurrent":3}}"#;
-    let input = batch(&[]) + &batch(&[ON, POOL, LIST, CALL]) + &batch(&[full]) + &batch(&[]);
+    let input = batch(&[]) + &batch(&[POWER_ON, POOL, LIST, CALL]) + &batch(&[full]) + &batch(&[]);
     let out = drill(&input);
     let expected = [
         r#"{"verb":"ok"}"#,
@@ -56,7 +56,7 @@
 #[test]
 fn a_killed_instance_loses_its_state_and_can_be_started_again() {
     let kill = r#"{"verb":"kill","manager-id":"manager_3"}"#;
-    let out = drill(&batch(&[ON, POOL, LIST, CALL, kill, ON, LIST, CALL]));
+    let out = drill(&batch(&[POWER_ON, POOL, LIST, CALL, kill, POWER_ON, LIST, CALL]));
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
     assert_eq!(text.matches("pass-on").count(), 1, "{text}");
 }
@@ -66,11 +66,15 @@
     let cases = [
         (batch(&["{nonsense"]), "line 2:", "key must be a string"),
         (batch(&["[1]"]), "line 2:", "not an object"),
-        (batch(&[ON, r#"{"verb":"dance","manager-id":"manager_3"}"#]), "line 3:", "unknown verb `dance`"),
-        (batch(&[ON, r#"{"verb":"ring","manager-id":"manager_3"}"#]), "line 3:", "no `token`"),
-        (batch(&[ON, &CALL.replace("\"ref\":42,", "")]), "line 3:", "missing field `ref`"),
-        (batch(&[ON, &CALL.replace("clip", "clop")]), "line 3:", "unknown class `clop`"),
-        (batch(&[ON, LIST]), "line 3:", "no pool 0"),
+        (
+            batch(&[POWER_ON, r#"{"verb":"dance","manager-id":"manager_3"}"#]),
+            "line 3:",
+            "unknown verb `dance`",
+        ),
+        (batch(&[POWER_ON, r#"{"verb":"ring","manager-id":"manager_3"}"#]), "line 3:", "no `token`"),
+        (batch(&[POWER_ON, &CALL.replace("\"ref\":42,", "")]), "line 3:", "missing field `ref`"),
+        (batch(&[POWER_ON, &CALL.replace("clip", "clop")]), "line 3:", "unknown class `clop`"),
+        (batch(&[POWER_ON, LIST]), "line 3:", "no pool 0"),
         (batch(&[CALL]), "line 2:", "is not running"),
         (format!("{END}\n"), "line 1:", "outside a batch"),
         (format!("{BEGIN}\n"), "", "ended inside a batch"),
--- a/crates/session/src/config.rs
+++ b/crates/session/src/config.rs
@@ -27,7 +27,7 @@
     pub max_paid_sessions: usize,
     /// True if a retry budget applies, so that retries are recorded in the write-ahead log.
     pub retry_budget: bool,
-    /// Longest delay between a server's start and its report on the server list.
+    /// Longest delay between a server's start and the update of the server list that shows it.
     pub max_list_delay: Duration,
 }
 
--- a/crates/session/src/core/actions.rs
+++ b/crates/session/src/core/actions.rs
@@ -119,7 +119,7 @@
 
     /// Gives the final answer to all viewers that wait for a session which does not come to play.
     ///
-    /// Ignored while an attempt is pending: its outcome is unknown, and its server would keep what it set up.
+    /// Ignored while an attempt is pending: its outcome is unknown, and its server would hold a session that no viewer uses.
     pub(super) fn reject(&mut self, request: RequestId, answer: impl Fn() -> Answer<B>) {
         let is_deciding = |s: &&mut Session<A>| matches!(s.phase, Phase::Deciding);
         let Some(session) = self.sessions.get_mut(&request).filter(is_deciding) else { return };
--- a/crates/session/src/core/attempts.rs
+++ b/crates/session/src/core/attempts.rs
@@ -95,7 +95,7 @@
             (AttemptEnd::Full, _) => AttemptOutcome::Full,
             (AttemptEnd::Error { .. }, _) => AttemptOutcome::Error,
             (AttemptEnd::Reset, _) => AttemptOutcome::Reset,
-            // The attempt timed out before a connection was made: it never ran, and the server is unreachable.
+            // The attempt timed out before a connection was made: it was not executed, and the server is unreachable.
             (AttemptEnd::NeverSent, Some(CancelReason::TimedOut)) => AttemptOutcome::ConnectFailed,
             (AttemptEnd::NeverSent | AttemptEnd::NotPersisted, _) => AttemptOutcome::NotSent,
             (AttemptEnd::Unanswered, Some(CancelReason::Disconnected)) => AttemptOutcome::Cancelled,
--- a/crates/session/src/core/check.rs
+++ b/crates/session/src/core/check.rs
@@ -90,9 +90,10 @@
                 server,
             })?;
         }
-        let may_have_run =
+        let may_have_been_executed =
             session.possibly_executed_end.is_some() || matches!(session.phase, Phase::Playing { .. });
-        let is_remembered = !(session.paid && may_have_run) || self.history.remembers_paid(&session.sid);
+        let is_remembered =
+            !(session.paid && may_have_been_executed) || self.history.remembers_paid(&session.sid);
         ensure(is_remembered, || InvariantViolation::PaidForgotten { sid: sid() })?;
         // The policy may still act on the events of this instant.
         let late = self.now.saturating_sub(session.deadline);
@@ -143,8 +144,8 @@
         })?;
         let now = self.now;
         ensure(started_at <= now, || InvariantViolation::StartInFuture { attempt, started_at, now })?;
-        let is_at_stopped = cancelled.is_none() && !self.list.is_serving(server);
-        ensure(!is_at_stopped, || InvariantViolation::PendingAtStopped { attempt, server })?;
+        let is_pending_at_stopped = cancelled.is_none() && !self.list.is_serving(server);
+        ensure(!is_pending_at_stopped, || InvariantViolation::PendingAtStopped { attempt, server })?;
         // The caller reports the end of a cancelled attempt, so that one needs no timer.
         let has_end =
             attempt_timers.contains(&attempt) || cancelled.is_some_and(|r| r != CancelReason::Drained);
--- a/crates/session/src/core/inputs.rs
+++ b/crates/session/src/core/inputs.rs
@@ -79,12 +79,7 @@
     /// Restores what is proven of earlier incarnations. What is not proven counts as having happened.
     fn restore_history(&mut self, mut recovered: RecoveredState) {
         let (paid, stopped) = (recovered.paid_sessions.iter().len(), recovered.stopped.len());
-        tracing::info!(
-            proven = recovered.trust.describe(),
-            paid,
-            stopped,
-            "earlier incarnation of this front found"
-        );
+        tracing::info!(proven = recovered.trust.describe(), paid, stopped, "earlier incarnation found");
         let paid_deadlines = self.config.classes.iter().filter(|c| c.paid).map(|c| c.deadline);
         self.history.restore(self.now, &mut recovered, paid_deadlines.max().unwrap_or_default());
         let last_setup_age = (recovered.trust != Trust::FirstStart).then_some(Duration::ZERO);
--- a/crates/session/src/core/list_updates.rs
+++ b/crates/session/src/core/list_updates.rs
@@ -25,14 +25,15 @@
         let failures = self.history.take_failures(|server| self.list.address(server).is_some());
         self.events.extend(failures.into_iter().map(Event::PeerReport));
         let full_list = update.mode == ListMode::Full;
-        for (address, held) in self.history.take_releases(full_list, |server| self.list.address(server)) {
-            let (server, sid) = (held.server, SessionId::from(held.sid));
+        for (address, unreleased) in self.history.take_releases(full_list, |server| self.list.address(server))
+        {
+            let (server, sid) = (unreleased.server, SessionId::from(unreleased.sid));
             self.commands.push(Command::Release { address, server, sid });
         }
         let records = self.history.record_list_update(&update, &applied.stopped);
         self.commands.extend(records.into_iter().map(Command::Persist));
         // Rule 3: a drain may come between the decision and the first byte of a set-up. What has not been sent is
-        // cancelled, and the policy is notified that it never ran and chooses again.
+        // cancelled, and the policy is notified that it was not executed and chooses again.
         for server in applied.stopped {
             tracing::info!(server, "server accepts no new sessions");
             let first = AttemptId { request: 0, number: 0 };
--- a/crates/session/src/core/viewers.rs
+++ b/crates/session/src/core/viewers.rs
@@ -113,8 +113,8 @@
 
     /// Submits the requests of viewers that joined an abandoned session, now that its last attempt has ended.
     ///
-    /// Such a viewer may have closed its connection and asked again at once. Without this its request would be
-    /// dropped with the abandoned session and get no answer (rule 1).
+    /// Such a viewer may have closed its connection and requested the session again at once. Without this its request
+    /// would be dropped with the abandoned session and get no answer (rule 1).
     pub(super) fn resubmit(&mut self, waiting: Vec<WaitingViewer<A>>, paid_executed: bool) {
         for waiting_viewer in waiting {
             match waiting_viewer.resubmitted {
--- a/crates/session/src/history.rs
+++ b/crates/session/src/history.rs
@@ -62,7 +62,7 @@
 
     /// Restores what the log proves of earlier incarnations.
     ///
-    /// Where records of paid sessions may be missing, paid sessions count as unproven for `max_wait`, the longest
+    /// If records of paid sessions may be missing, paid sessions count as unproven for `max_wait`, the longest
     /// time that a paid viewer waits: after it, every viewer of the previous incarnation has given up.
     pub(crate) fn restore(&mut self, now: Duration, recovered: &mut RecoveredState, max_wait: Duration) {
         if recovered.trust.may_miss_records() {
@@ -93,7 +93,7 @@
     /// Checks the bounds on all that is remembered.
     pub(crate) fn check(&self) -> Result<(), InvariantViolation> {
         let bound =
-            |what, held, max| ensure(held <= max, || InvariantViolation::HistoryBound { what, held, max });
+            |items, held, max| ensure(held <= max, || InvariantViolation::HistoryBound { items, held, max });
         bound("paid sessions", self.executed_paid.iter().len(), self.max_paid_sessions.unwrap_or(0))?;
         let bounds = LedgerLimits::default();
         bound("stopped servers", self.stopped.len(), bounds.servers)?;
@@ -189,10 +189,10 @@
         address: impl Fn(ServerId) -> Option<A>,
     ) -> Vec<(A, UnreleasedSession)> {
         let mut releases = Vec::new();
-        for held in std::mem::take(&mut self.unreleased) {
-            match address(held.server) {
-                Some(address) => releases.push((address, held)),
-                None if !full_list => self.unreleased.push(held),
+        for session in std::mem::take(&mut self.unreleased) {
+            match address(session.server) {
+                Some(address) => releases.push((address, session)),
+                None if !full_list => self.unreleased.push(session),
                 None => {}
             }
         }
--- a/crates/session/src/invariants.rs
+++ b/crates/session/src/invariants.rs
@@ -73,8 +73,8 @@
     ListBound { held: usize, max: usize },
     #[error("report throttles: one is held for server {server}, which is not on the list")]
     UnlistedThrottle { server: ServerId },
-    #[error("history: {held} {what} are held, the maximum is {max}")]
-    HistoryBound { what: &'static str, held: usize, max: usize },
+    #[error("history: {held} {items} are held, the maximum is {max}")]
+    HistoryBound { items: &'static str, held: usize, max: usize },
     #[error("knowledge: the snapshot shows change {shown}, the last change is {last}")]
     StaleSnapshot { shown: u64, last: u64 },
     #[error("commands: {left} were not returned to the caller")]
--- a/crates/session/src/knowledge.rs
+++ b/crates/session/src/knowledge.rs
@@ -81,8 +81,8 @@
         ensure(shown == last, || InvariantViolation::StaleSnapshot { shown, last })
     }
 
-    /// Stores how an attempt or a session at a server ended. `may_have_restarted` is true if
-    /// the server was unreachable or lost the session.
+    /// Stores how an attempt or a session at a server ended. `may_have_restarted` is true if the server was
+    /// unreachable or lost the session.
     pub(crate) fn record_outcome(
         &mut self,
         now: Duration,
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -7,8 +7,8 @@
 //! may have been executed by a server, and which viewers still wait for an answer.
 //!
 //! A request takes these steps: [`arrival::read`] translates hints and path to an [`Arrival`]; [`Core::step`] passes
-//! it to the policy as a session request; the policy's `Send` action becomes [`Command::Send`]; the caller's report on the
-//! attempt becomes its outcome; [`Command::Answer`] goes to each waiting viewer.
+//! it to the policy as a session request; the policy's `Send` action becomes [`Command::Send`]; the caller's report
+//! on the attempt becomes its outcome; [`Command::Answer`] goes to each waiting viewer.
 //!
 //! Comments refer to these rules by number:
 //!
--- a/crates/session/src/list/mod.rs
+++ b/crates/session/src/list/mod.rs
@@ -50,7 +50,8 @@
     /// Cell of the server.
     #[serde(default)]
     pub cell: u64,
-    /// Share of new sessions relative to other servers, without a unit.
+    /// Size of the server's link relative to that of other servers, without a unit. Used only if the settings
+    /// size links by weight.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// State of the server.
@@ -111,34 +112,34 @@
         }
         let mut present = self.servers.values().filter(|s| s.entry.state != WireState::Gone).count();
         let mut left_out = 0;
-        for e in &update.entries {
+        for entry in &update.entries {
             // Each message is bounded, but patches could add servers without end.
-            let was_present = self.servers.get(&e.id).is_some_and(|s| s.entry.state != WireState::Gone);
-            let is_present = e.state != WireState::Gone;
+            let was_present = self.servers.get(&entry.id).is_some_and(|s| s.entry.state != WireState::Gone);
+            let is_present = entry.state != WireState::Gone;
             if is_present && !was_present && present >= MAX_SERVERS {
                 left_out += 1;
                 continue;
             }
             present = present + usize::from(is_present) - usize::from(was_present);
-            let started_at = self.started_at(now, e);
-            let previous = self.servers.insert(e.id, ListedServer { entry: e.clone(), started_at });
+            let started_at = self.started_at(now, entry);
+            let previous = self.servers.insert(entry.id, ListedServer { entry: entry.clone(), started_at });
             let served = previous.is_some_and(|s| s.entry.state == WireState::Serving);
-            if served && e.state != WireState::Serving {
-                out.stopped.insert(e.id);
+            if served && entry.state != WireState::Serving {
+                out.stopped.insert(entry.id);
             }
             out.entries.push(ListEntry {
-                server: e.id,
-                shared_key: e.key.unwrap_or(e.id),
-                cell: e.cell,
-                kind: config.kind_index(&e.kind),
-                weight: e.weight,
-                state: match e.state {
+                server: entry.id,
+                shared_key: entry.key.unwrap_or(entry.id),
+                cell: entry.cell,
+                kind: config.kind_index(&entry.kind),
+                weight: entry.weight,
+                state: match entry.state {
                     WireState::Serving => ServerState::Serving,
                     WireState::Draining => ServerState::Draining,
                     WireState::Gone => ServerState::Removed,
                 },
                 started_at,
-                in_other_zone: e.zone != config.zone,
+                in_other_zone: entry.zone != config.zone,
             });
         }
         if left_out > 0 {
@@ -166,9 +167,9 @@
 
     /// Start of the process named by an entry. Each message gives it as an age, some milliseconds off, so the first
     /// value stays for as long as the incarnation does; else each message would look like a restart.
-    fn started_at(&self, now: Duration, e: &ServerEntry) -> Duration {
-        let listed = self.servers.get(&e.id).filter(|s| s.entry.incarnation == e.incarnation);
-        match (listed, e.started_ms_ago) {
+    fn started_at(&self, now: Duration, entry: &ServerEntry) -> Duration {
+        let listed = self.servers.get(&entry.id).filter(|s| s.entry.incarnation == entry.incarnation);
+        match (listed, entry.started_ms_ago) {
             (Some(s), _) => s.started_at,
             (None, None) => Duration::ZERO,
             (None, Some(ms)) => now.saturating_sub(Duration::from_millis(ms)),
@@ -181,8 +182,8 @@
     }
 
     /// Returns whether an entry names another incarnation than the one listed under its id.
-    pub fn is_restart(&self, e: &ServerEntry) -> bool {
-        self.servers.get(&e.id).is_some_and(|s| s.entry.incarnation != e.incarnation)
+    pub fn is_restart(&self, entry: &ServerEntry) -> bool {
+        self.servers.get(&entry.id).is_some_and(|s| s.entry.incarnation != entry.incarnation)
     }
 
     /// Servers other than `server` that are listed at an address.
--- a/crates/session/src/types/commands.rs
+++ b/crates/session/src/types/commands.rs
@@ -59,14 +59,15 @@
     },
     /// The session plays already: fetch the object from the route's server as any later object.
     Follow(Arc<Route>),
-    /// There is no session, and no attempt ran at a server. The viewer may retry.
+    /// There is no session, and no server executed a set-up that must take effect at most once. The viewer may
+    /// retry.
     Refused {
         /// Time that the viewer is asked to wait before its next request.
         retry_after: Duration,
         /// Reason for the refusal.
         reason: RejectReason,
     },
-    /// There is no session, and an attempt may have run at a server.
+    /// There is no session, and a server may have executed a set-up, possibly for an earlier request.
     Failed {
         /// True if no answer came in time, false if an error was seen.
         timed_out: bool,
@@ -86,7 +87,7 @@
     }
 }
 
-/// An instruction to the caller. Instructions are carried out in order.
+/// An instruction or notification to the caller, to be handled in order.
 #[derive(Debug)]
 pub enum Command<A, B> {
     /// Send a set-up request. The caller reports the attempt's end exactly once.
--- a/crates/session/src/types/inputs.rs
+++ b/crates/session/src/types/inputs.rs
@@ -66,16 +66,17 @@
     NotConnected,
     /// The attempt was cancelled before the first byte was sent.
     NeverSent,
-    /// The server answered that the set-up did not run.
+    /// The server answered that it did not execute the set-up.
     Full,
-    /// The server answered with an error. The set-up may have run.
+    /// The server answered with an error. The set-up may have been executed.
     Error {
         /// Status code of the answer.
         status: u16,
     },
-    /// The connection broke after the first byte was sent. The set-up may have run.
+    /// The connection broke after the first byte was sent. The set-up may have been executed.
     Reset,
-    /// The attempt was cancelled after the first byte was sent. The set-up may have run or be running.
+    /// The attempt was cancelled after the first byte was sent. The set-up may have been executed, or be in
+    /// execution.
     Unanswered,
     /// The attempt's log record could not be persisted, so the request was never sent.
     NotPersisted,
--- a/crates/session/src/types/mod.rs
+++ b/crates/session/src/types/mod.rs
@@ -63,9 +63,9 @@
     TooManyWaiting,
     /// The paid session may have been set up before and must not be set up again.
     AlreadySetUp,
-    /// An attempt may have run, and no answer arrived.
+    /// An attempt may have been executed, and no answer arrived.
     Unanswered,
-    /// An attempt may have run, and the server answered with an error or broke the connection.
+    /// An attempt may have been executed, and the server answered with an error or broke the connection.
     ServerFailed,
     /// The viewer's own deadline passed while the session was being set up.
     DeadlineExceeded,
--- a/crates/session/tests/core.rs
+++ b/crates/session/tests/core.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_paid_set_up_that_provably_never_ran_is_retried_or_refused() {
+fn a_paid_set_up_that_was_provably_not_executed_is_retried_or_refused() {
     for end in [AttemptEnd::NotConnected, AttemptEnd::Full] {
         let (mut core, setup) = core_with_pending_attempt("paid");
         let out = core.step(START + ms(10), [attempt_ended(setup.attempt, end)]);
@@ -120,7 +120,7 @@
         let third = sent_setup(&core.step(START + ms(20), [attempt_ended(second.attempt, end)]));
         let out = core.step(START + ms(30), [attempt_ended(third.attempt, end)]);
         assert_eq!(summaries(&out), ["1 refused no-room"]);
-        // Nothing ran, so the same session may be requested again and the policy decides on it.
+        // Nothing was executed, so the same session may be requested again and the policy decides on it.
         let out = summaries(&core.step(START + ms(9000), [arrived(2, "s", "paid")]));
         assert_ne!(out, ["2 failed set-up-before"]);
     }
@@ -206,7 +206,7 @@
     assert_eq!(summaries(&out), [format!("cancel {} Drained", setup.attempt)]);
     let out = core.step(START + ms(6), [attempt_ended(setup.attempt, AttemptEnd::NeverSent)]);
     let again = sent_setup(&out);
-    assert_ne!(again.server, setup.server, "a paid session that never ran is set up elsewhere");
+    assert_ne!(again.server, setup.server, "a paid session that was not executed is set up elsewhere");
     // A set-up that has been sent is left alone: its answer counts.
     let drain = list_update(ListMode::Patch, vec![server(again.server, WireState::Gone)]);
     core.step(START + ms(7), [drain]);
--- a/crates/session/tests/load/harness.rs
+++ b/crates/session/tests/load/harness.rs
@@ -142,7 +142,7 @@
                 };
                 let pending = self.record_end(id);
                 if end == AttemptEnd::Full && pending.paid {
-                    self.executed.remove(&pending.sid); // The server reports that it did not run.
+                    self.executed.remove(&pending.sid); // The server reports that it did not execute it.
                 }
                 self.queued.push(attempt_ended(id, end));
             }
--- a/crates/session/tests/races/mod.rs
+++ b/crates/session/tests/races/mod.rs
@@ -83,7 +83,7 @@
                 Command::Send(s) => {
                     let is_pending = self.attempts.values().any(|a| a.end.is_none() && !a.plays);
                     let is_executed =
-                        self.attempts.values().any(|a| a.plays || a.end.is_some_and(may_have_run));
+                        self.attempts.values().any(|a| a.plays || a.end.is_some_and(may_have_been_executed));
                     assert!(!is_pending, "{}: two attempts pending", self.case);
                     assert!(!(self.paid && is_executed), "{}: a paid session is repeated", self.case);
                     assert!(!self.disconnected, "{}: set-up without a waiting viewer", self.case);
@@ -172,7 +172,7 @@
         assert!(answers.iter().all(|(at, _)| *at < START + ms(3_000)), "{case}: {answers:?} too late");
         assert!(attempts.values().all(|a| a.plays || a.end.is_some()), "{case}: an attempt never ends");
         // Each server that may hold the session is released once, and no other server is.
-        let holds = |a: &&Attempt| a.plays || a.end.is_some_and(may_have_run);
+        let holds = |a: &&Attempt| a.plays || a.end.is_some_and(may_have_been_executed);
         let mut expected: Vec<_> = attempts.values().filter(holds).map(|a| a.server).collect();
         let mut released = self.released.clone();
         expected.sort();
@@ -183,6 +183,6 @@
     }
 }
 
-pub fn may_have_run(end: AttemptEnd) -> bool {
+pub fn may_have_been_executed(end: AttemptEnd) -> bool {
     !matches!(end, AttemptEnd::Full | AttemptEnd::NotConnected | AttemptEnd::NeverSent)
 }
--- a/crates/session/tests/regressions.rs
+++ b/crates/session/tests/regressions.rs
@@ -27,7 +27,7 @@
 }
 
 /// A viewer disconnected after its attempt had timed out and before the end of the attempt was reported: the session was
-/// held for ever, and a later request for it waited without an answer (rule 1).
+/// held forever, and a later request for it waited without an answer (rule 1).
 #[test]
 fn a_viewer_that_disconnects_after_the_time_out_leaves_no_session_behind() {
     let mut core = core();
@@ -113,7 +113,7 @@
     assert_eq!((core.check(), core.session_count()), (Ok(()), 1));
 }
 
-/// Policy that sends to an unknown server again and again, whenever an attempt is reported as never run.
+/// Policy that sends to an unknown server again and again, whenever an attempt is reported as not sent.
 struct RetryingPolicy;
 
 impl Policy for RetryingPolicy {
--- a/crates/session/tests/restart_history.rs
+++ b/crates/session/tests/restart_history.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_paid_set_up_is_logged_before_it_is_sent_and_withdrawn_if_it_never_ran() {
+fn a_paid_set_up_is_logged_before_it_is_sent_and_withdrawn_if_it_was_not_executed() {
     let mut core = core();
     core.step(START, [serving_list(2)]);
     let setup = sent_setup(&core.step(START, [arrived(1, "one", "paid")]));
@@ -62,13 +62,17 @@
 
 #[test]
 fn a_paid_session_that_an_earlier_incarnation_may_have_executed_is_never_set_up_again() {
-    let out =
+    let started =
         |sid: &str| LogRecord::AttemptStarted { sid: sid.into(), server: 1, paid: true, is_retry: false };
-    let records = [out("ran"), out("never"), LogRecord::AttemptNotExecuted { sid: session_digest("never") }];
+    let records = [
+        started("executed"),
+        started("never"),
+        LogRecord::AttemptNotExecuted { sid: session_digest("never") },
+    ];
     let mut core = core();
     core.step(START, [Input::Recovered(Box::new(recover_after(&records, 50))), serving_list(2)]);
     // The player requests the same session again, as at its start.
-    let again = core.step(START + ms(1), [arrived(1, "ran", "paid")]);
+    let again = core.step(START + ms(1), [arrived(1, "executed", "paid")]);
     assert_eq!(summaries(&again), ["1 failed set-up-before"]);
     for (viewer, sid) in [(2, "never"), (3, "new")] {
         assert_eq!(&*sent_setup(&core.step(START + ms(2), [arrived(viewer, sid, "paid")])).sid, sid);
@@ -76,10 +80,10 @@
 }
 
 #[test]
-fn sessions_of_a_dead_incarnation_are_released_once() {
-    let out = LogRecord::AttemptStarted { sid: "left".into(), server: 2, paid: true, is_retry: false };
+fn sessions_of_the_previous_incarnation_are_released_once() {
+    let started = LogRecord::AttemptStarted { sid: "left".into(), server: 2, paid: true, is_retry: false };
     let mut core = core();
-    let commands = core.step(START, [Input::Recovered(Box::new(recover_after(&[out], 50)))]);
+    let commands = core.step(START, [Input::Recovered(Box::new(recover_after(&[started], 50)))]);
     assert!(commands.is_empty(), "the server's address is not known yet");
     assert_eq!(summaries(&core.step(START + ms(1), [serving_list(2)])), ["release left"]);
     assert!(summaries(&core.step(START + ms(2), [serving_list(2)])).is_empty(), "the release is sent once");
@@ -115,7 +119,7 @@
 
 #[test]
 fn retries_of_an_earlier_incarnation_count_and_set_ups_have_a_send_deadline() {
-    let further = LogRecord::AttemptStarted { sid: "x".into(), server: 1, paid: false, is_retry: true };
+    let retry = LogRecord::AttemptStarted { sid: "x".into(), server: 1, paid: false, is_retry: true };
     let is_retried = |recovered: Option<RecoveredState>| {
         let mut core = core_with_retry_budget(3);
         // After a restart any server may be cold until the list must have shown its start: a set-up is sent in its
@@ -139,8 +143,8 @@
         second.is_some()
     };
     assert!(is_retried(None), "first incarnation");
-    assert!(!is_retried(Some(recover_after(std::slice::from_ref(&further), 4_000))), "budget used 4 s ago");
-    assert!(is_retried(Some(recover_after(&[further], 11_000))), "budget used 11 s ago");
+    assert!(!is_retried(Some(recover_after(std::slice::from_ref(&retry), 4_000))), "budget used 4 s ago");
+    assert!(is_retried(Some(recover_after(&[retry], 11_000))), "budget used 11 s ago");
     assert!(!is_retried(Some(recover_without_log())), "unknown whether the budget was used");
 }
 
--- a/crates/session/tests/seeded_load.rs
+++ b/crates/session/tests/seeded_load.rs
@@ -143,7 +143,7 @@
                     let end = [AttemptEnd::Full, AttemptEnd::Reset, AttemptEnd::Error { status: 500 }];
                     let end = end[self.rng.random_range(0..3)];
                     if end == AttemptEnd::Full && pending.paid {
-                        self.executions.remove(&pending.sid); // The server reports that it did not run.
+                        self.executions.remove(&pending.sid); // The server reports that it did not execute it.
                     }
                     inputs.push(attempt_ended(id, end));
                 }
