--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -17,11 +17,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Utilization that a link or uplink may reach: an example of an operator's threshold.
+/// Utilization that a link or uplink may reach; the paper's example of an operator's threshold.
 const MAX_UTILIZATION: f64 = 0.95;
-/// Time over which a reading fades to the typical demand, or to zero.
+/// Time over which a reading fades to the typical demand, or to zero, as in the design.
 const FADE_TIME: Duration = Duration::from_secs(30);
-/// Shortest time between two steps down of one session.
+/// Shortest time between two steps down of one session, as in the design.
 const STEP_DOWN_INTERVAL: Duration = Duration::from_secs(30);
 /// Delivered share below which a link counts as short (the bound below which servers report it).
 const MIN_DELIVERED_SHARE: f64 = 0.98;
