--- a/crates/node/src/event_loop/lines.rs
+++ b/crates/node/src/event_loop/lines.rs
@@ -1,4 +1,4 @@
-//! Lines from video servers: what they mean, and which of them are dropped.
+//! Handling of lines from video servers, and the reasons for dropping one.
 
 use super::*;
 use std::net::SocketAddr;
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -1,8 +1,8 @@
 //! The event loop: the one task that owns the session core and its policy.
 //!
-//! Everything received by the same instant is handled in one step of the core. The event loop never waits for
-//! a socket: it handles events, steps the core, and queues bytes for the tasks that own the sockets. A
-//! connection whose queue is full is closed.
+//! A step of the core handles all events received since the previous one, up to a limit. The event loop never
+//! waits for a socket: it handles events, steps the core, and queues bytes for the tasks that own the sockets.
+//! A connection whose queue is full is closed.
 
 mod commands;
 mod lines;
@@ -46,7 +46,7 @@
 const MAX_EVENTS_PER_STEP: usize = 256;
 /// Interval between two maintenance runs of the connections to video servers.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after the platform's first ping during which viewers hand over sessions that are already playing.
+/// Time after the first ping (OPTIONS) during which viewers hand over sessions that are already playing.
 const HANDOVER_PERIOD: Duration = Duration::from_secs(10);
 
 pub(crate) type NodeCore = Core<SessionPolicy, SetupRequest, String>;
@@ -94,8 +94,10 @@
     inputs: Vec<CoreInput>,
     /// Time of the request to terminate.
     terminating_since: Option<Duration>,
+    /// Idle connections have been closed because the process may be killed soon.
     closed_before_kill: bool,
-    /// Time until which viewers may hand over sessions that a previous incarnation set up.
+    /// Time until which viewers may hand over sessions that a previous incarnation set up; `Duration::MAX`
+    /// until the first ping.
     handover_until: Duration,
     last_maintenance: Duration,
     /// Load gossip with other session managers; `None` if the platform does not provide for it.
--- a/crates/node/src/event_loop/servers.rs
+++ b/crates/node/src/event_loop/servers.rs
@@ -16,7 +16,7 @@
             server,
             address,
             sid,
-            paid,
+            at_most_once: paid,
             line: line.encode(),
             send_deadline,
             waiter,
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -6,7 +6,7 @@
 
 /// Maximum time to wait at the end for the connections' tasks to receive the queued lines to video servers.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval at which the queues are checked during that time.
+/// Interval at which the queues are checked within [`FLUSH_TIMEOUT`].
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Time after the request to terminate during which viewers' set-ups are still accepted. Later ones are
 /// refused, so that a kill leaves none unanswered.
--- a/crates/node/src/event_loop/tests.rs
+++ b/crates/node/src/event_loop/tests.rs
@@ -167,7 +167,7 @@
         "nothing is pending"
     );
     for server in &fixture.servers {
-        // The existing connection stays open, and no second one is opened.
+        // The connection of the first attempt stays open, and no second one is opened.
         let second = async {
             server.accept().await.unwrap();
             server.accept().await.unwrap();
@@ -210,7 +210,7 @@
     assert!(line.contains("FINISH"), "{line}");
 }
 
-/// A connection must be evicted in the step in which a set-up arrives on the oldest one: another is evicted.
+/// A set-up on the oldest connection arrives in the step in which one must be evicted: the next oldest is.
 #[tokio::test]
 async fn connection_with_a_received_set_up_is_not_evicted() {
     let mut fixture = Fixture::new(LIMITS).await;
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -58,6 +58,7 @@
 
 /// Cause of the end of an established connection.
 enum TransferEnd {
+    /// The connection was closed by either side, was reset, or timed out.
     Broken,
     /// A received line cannot be parsed.
     Malformed,
--- a/crates/node/src/link/tests.rs
+++ b/crates/node/src/link/tests.rs
@@ -43,7 +43,7 @@
     server.write_all(&lines::Line::finish("9b", 16).encode()).await.unwrap();
     let Some(LoopEvent::LineReceived(_, line)) = event_rx.recv().await else { panic!("the line is lost") };
     assert_eq!((&*line.sid, line.cause), ("9b", Some(16)));
-    // The line was not read because the write was given up: the write continues.
+    // The write was not abandoned in order to read the line: it continues.
     assert!(server.read_exact(&mut vec![0; (64 << 20) - 1]).await.is_ok());
 }
 
--- a/crates/node/src/links/close_reason.rs
+++ b/crates/node/src/links/close_reason.rs
@@ -19,8 +19,8 @@
 /// Time for which a closed connection is still read if its server does not close it too. A release that the
 /// server wrote before it noticed the close would otherwise be lost, and its viewer never notified.
 const LINGER: Duration = Duration::from_secs(1);
-/// The same for connections whose sessions may still be established: a server that stalls writes there once
-/// it resumes.
+/// Time for which a closed connection is still read if sessions that were set up on it may still be
+/// established: a server that has stalled writes their releases there once it resumes.
 const LINGER_WITH_SESSIONS: Duration = Duration::from_secs(10);
 
 impl CloseReason {
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -83,7 +83,8 @@
 
     /// Sends a set-up on an idle connection if there is a suitable one, otherwise on a new one.
     pub(crate) fn send_setup(&mut self, outgoing: OutgoingSetup) {
-        let OutgoingSetup { attempt, server, address, sid, paid, line, send_deadline, waiter } = outgoing;
+        let OutgoingSetup { attempt, server, address, sid, at_most_once, line, send_deadline, waiter } =
+            outgoing;
         let send_decision = Arc::new(SendDecision::default());
         let mut setup = PendingSetup {
             attempt,
@@ -93,7 +94,7 @@
             clock: self.clock,
             waiter,
         };
-        let idle = self.monitor.take_for_setup(self.clock.now(), server, paid);
+        let idle = self.monitor.take_for_setup(self.clock.now(), server, at_most_once);
         if let Some((id, link)) = idle.and_then(|id| Some((id, self.links.get_mut(&id)?))) {
             if link.last_session.as_ref() != Some(&sid) {
                 match link.handle.send_setup(setup) {
--- a/crates/node/src/links/outcomes.rs
+++ b/crates/node/src/links/outcomes.rs
@@ -1,4 +1,5 @@
-//! How set-ups and connections end, and what the end of a connection proves about its set-up.
+//! Ends of set-ups and connections. From the end of a connection follows whether its set-up may have been
+//! executed.
 
 use super::*;
 
@@ -37,14 +38,14 @@
         let setup = self.take_open_setup(id);
         let link = self.links.remove(&id)?;
         let session = setup.as_ref().map(|(_, sid)| &**sid);
-        let (server, address, owed_lines) = (link.server, link.address, unread.len());
+        let (server, address, unread_count) = (link.server, link.address, unread.len());
         tracing::info!(
             link = id.0,
             server,
             %address,
             down = ?reason,
             session,
-            owed_lines,
+            owed_lines = unread_count,
             "connection to a video server ended"
         );
         self.monitor.link_down(self.clock.now(), link.server, id, reason);
--- a/crates/node/src/links/tests/mod.rs
+++ b/crates/node/src/links/tests/mod.rs
@@ -43,7 +43,7 @@
             server: SERVER,
             address,
             sid,
-            paid: true,
+            at_most_once: true,
             line,
             send_deadline,
             waiter: None,
@@ -105,7 +105,7 @@
 }
 
 /// The server has closed a used connection and the close is not known yet: the set-up is not written, which
-/// proves that even a paid one may be sent elsewhere.
+/// proves that even an at-most-once set-up may be sent elsewhere.
 #[tokio::test]
 async fn set_up_on_a_closed_connection_is_never_sent() {
     let mut fixture = Fixture::new().await;
@@ -179,7 +179,7 @@
         server: SERVER,
         address,
         sid,
-        paid: true,
+        at_most_once: true,
         line,
         send_deadline,
         waiter: None,
--- a/crates/node/src/links/types.rs
+++ b/crates/node/src/links/types.rs
@@ -14,7 +14,7 @@
     pub(crate) address: SocketAddr,
     pub(crate) sid: SessionId,
     /// The set-up must not take effect more than once.
-    pub(crate) paid: bool,
+    pub(crate) at_most_once: bool,
     /// Encoded START line.
     pub(crate) line: Bytes,
     /// Time after which the set-up must not be sent any more.
--- a/crates/node/src/listen.rs
+++ b/crates/node/src/listen.rs
@@ -22,7 +22,7 @@
 /// Time for which a connection is still read after an error response; closing it with unread data would reset
 /// it, and the viewer could lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Maximum number of bytes read during that time.
+/// Maximum number of bytes read within [`LINGER_TIMEOUT`].
 const LINGER_MAX_BYTES: usize = 80 * 1024 * 1024;
 /// Buffer space reserved for each read.
 const READ_BUFFER_BYTES: usize = 4 * 1024;
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -54,8 +54,9 @@
 /// Maximum time to wait at the end for the queued responses to be written to viewers.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs a session manager until SIGTERM or SIGINT, then until every pending set-up is answered. `file` is the
-/// path of the configuration file, which is read again on SIGHUP.
+/// Runs a session manager until SIGTERM or SIGINT, and then on until every pending set-up is answered and a
+/// viewer's longest deadline has passed. `file` is the path of the configuration file, which is read again on
+/// SIGHUP.
 ///
 /// # Errors
 /// The configuration is invalid, or the socket or the signal handlers could not be set up.
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -5,8 +5,8 @@
 
 /// Upper bound of the delay after a stream that was useful.
 const INITIAL_BOUND: Duration = Duration::from_millis(200);
-/// Upper bound of every delay, however many requests have failed. An update that the channel has available counts as
-/// known to the session manager 2 s after a break, so the delay has to stay well below that.
+/// Upper bound of every delay, however many requests have failed. The platform expects a session manager to know the
+/// channel's updates 2 s after a break, so the delay has to stay well below that.
 pub const MAX_DELAY: Duration = Duration::from_millis(800);
 
 /// Exponential back-off with full jitter: each delay is drawn uniformly between zero and a bound, which doubles after
--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -53,8 +53,8 @@
 
     /// Forgets departed servers that are not in use any more, which bounds the number of remembered names.
     ///
-    /// `in_use` returns whether a session or a connection of the server is left. Without either there is nothing by
-    /// which a returning process could be told from a new one.
+    /// `in_use` returns whether a session or a connection of the server is left. Without either nothing refers to the id,
+    /// so a process that returns may get a new one.
     pub fn forget_departed(&mut self, in_use: impl Fn(ServerId) -> bool) {
         self.departed.retain(|_, id| in_use(*id));
     }
--- a/crates/platform/src/early_releases.rs
+++ b/crates/platform/src/early_releases.rs
@@ -21,7 +21,7 @@
     /// The attempt that was open at the process; `None` if the session was unknown.
     attempt: Option<AttemptId>,
     cause: i64,
-    received: Duration,
+    received_at: Duration,
 }
 
 /// Stored early releases, at most one for each session.
@@ -44,15 +44,15 @@
         if self.by_session.len() >= MAX_EARLY_RELEASES {
             self.evict(now);
         }
-        self.by_session.insert(sid, EarlyRelease { process, attempt, cause, received: now });
+        self.by_session.insert(sid, EarlyRelease { process, attempt, cause, received_at: now });
     }
 
     fn evict(&mut self, now: Duration) {
-        self.by_session.retain(|_, release| release.received + RETENTION > now);
+        self.by_session.retain(|_, release| release.received_at + RETENTION > now);
         if self.by_session.len() < MAX_EARLY_RELEASES {
             return;
         }
-        let oldest = self.by_session.iter().min_by_key(|(_, release)| release.received);
+        let oldest = self.by_session.iter().min_by_key(|(_, release)| release.received_at);
         if let Some(sid) = oldest.map(|(sid, _)| sid.clone()) {
             self.by_session.remove(&sid);
         }
@@ -62,7 +62,7 @@
     /// it within [`RETENTION`].
     pub fn take(&mut self, now: Duration, sid: &str, process: SocketAddr) -> Option<i64> {
         let release = self.by_session.remove(sid)?;
-        (release.process == process && release.received + RETENTION > now).then_some(release.cause)
+        (release.process == process && release.received_at + RETENTION > now).then_some(release.cause)
     }
 
     /// Drops the releases received during an attempt that ended without a session; they do not apply to the session of a
--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -52,15 +52,15 @@
     link_load: u8,
     uplink_load: u8,
     /// Time at which the server had this load.
-    taken: Duration,
-    sends: u8,
+    measured_at: Duration,
+    send_count: u8,
 }
 
 /// Gossip state of one session manager: the readings it knows, and when the next datagram is due.
 #[derive(Debug)]
 pub struct Gossip {
     config: GossipConfig,
-    peers: usize,
+    peer_count: usize,
     /// Time at which the next datagram is due; `None` until the first poll draws it.
     next_send: Option<Duration>,
     rng: fastrand::Rng,
@@ -80,12 +80,12 @@
 }
 
 impl Gossip {
-    /// Creates the state of a session manager with `peers` others. `seed` determines the time of the first datagram and
-    /// the recipients.
-    pub fn new(config: GossipConfig, peers: usize, seed: u64) -> Gossip {
+    /// Creates the state of a session manager that has `peer_count` peers. `seed` determines the time of the first
+    /// datagram and the recipients.
+    pub fn new(config: GossipConfig, peer_count: usize, seed: u64) -> Gossip {
         let rng = fastrand::Rng::with_seed(seed);
         let (readings, server_by_digest, digests) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Gossip { config, peers, next_send: None, rng, readings, server_by_digest, digests }
+        Gossip { config, peer_count, next_send: None, rng, readings, server_by_digest, digests }
     }
 
     /// Sets the listed servers, each with a key that is the same at all session managers.
@@ -102,10 +102,10 @@
         self.readings.retain(|s, r| digests.get(s) == Some(&r.digest));
     }
 
-    /// Records a load that a server reported to this session manager, as it was at the time `taken`.
+    /// Records a load that a server reported to this session manager, as it was at the time `measured_at`.
     pub fn record_reading(
         &mut self,
-        taken: Duration,
+        measured_at: Duration,
         server: ServerId,
         link_load: Option<f64>,
         uplink_load: Option<f64>,
@@ -113,12 +113,12 @@
         let previous = self.readings.get(&server).copied();
         let Some(digest) = self.digests.get(&server).copied() else { return };
         // A server reports link and uplink in two lines: the second completes the reading of the first.
-        let previous = previous.filter(|r| taken.saturating_sub(r.taken) < SAME_REPORT);
+        let previous = previous.filter(|r| measured_at.saturating_sub(r.measured_at) < SAME_REPORT);
         let link_load =
             link_load.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.link_load), |l| encode_load(Some(l)));
         let uplink_load =
             uplink_load.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.uplink_load), |l| encode_load(Some(l)));
-        self.readings.insert(server, Reading { digest, link_load, uplink_load, taken, sends: 0 });
+        self.readings.insert(server, Reading { digest, link_load, uplink_load, measured_at, send_count: 0 });
     }
 
     /// Returns the index of the recipient and the datagram, if one is due. To be called periodically.
@@ -126,14 +126,14 @@
         let interval = self.config.interval;
         // All session managers start at about the same time; the random offset spreads their datagrams.
         let next_send = *self.next_send.get_or_insert_with(|| now + interval.mul_f64(self.rng.f64()));
-        if self.peers == 0 || now < next_send {
+        if self.peer_count == 0 || now < next_send {
             return None;
         }
         self.next_send = Some(now + interval);
         let GossipConfig { max_sends, max_age, .. } = self.config;
-        let sendable = |r: &Reading| r.sends < max_sends && now.saturating_sub(r.taken) < max_age;
+        let sendable = |r: &Reading| r.send_count < max_sends && now.saturating_sub(r.measured_at) < max_age;
         let mut newest_first: Vec<_> =
-            self.readings.iter().filter(|(_, r)| sendable(r)).map(|(s, r)| (r.taken, *s)).collect();
+            self.readings.iter().filter(|(_, r)| sendable(r)).map(|(s, r)| (r.measured_at, *s)).collect();
         newest_first.sort_unstable_by(|a, b| b.cmp(a));
         if newest_first.is_empty() {
             return None;
@@ -141,14 +141,15 @@
         let mut datagram = vec![FORMAT_VERSION, 0, 0];
         for (_, server) in newest_first.into_iter().take(MAX_READINGS) {
             let Some(reading) = self.readings.get_mut(&server) else { continue };
-            reading.sends += 1;
-            let age = (now.saturating_sub(reading.taken).as_millis() / AGE_UNIT_MS).min(u8::MAX.into()) as u8;
+            reading.send_count += 1;
+            let age =
+                (now.saturating_sub(reading.measured_at).as_millis() / AGE_UNIT_MS).min(u8::MAX.into()) as u8;
             datagram.extend_from_slice(&reading.digest.to_le_bytes());
             datagram.extend_from_slice(&[reading.link_load, reading.uplink_load, age]);
         }
         let checksum = checksum(&datagram[HEADER_BYTES..]);
         datagram[1..HEADER_BYTES].copy_from_slice(&checksum);
-        Some((self.rng.usize(..self.peers), datagram))
+        Some((self.rng.usize(..self.peer_count), datagram))
     }
 
     /// Handles a datagram from another session manager and returns the readings in it that are newer than those known
@@ -166,13 +167,13 @@
             let digest = u16::from_le_bytes([entry[0], entry[1]]);
             let Some(Some(server)) = self.server_by_digest.get(&digest).copied() else { continue };
             let age = Duration::from_millis((u128::from(entry[4]) * AGE_UNIT_MS) as u64);
-            let taken = now.saturating_sub(age);
-            if self.readings.get(&server).is_some_and(|r| taken <= r.taken + MIN_AGE_DIFFERENCE) {
+            let measured_at = now.saturating_sub(age);
+            if self.readings.get(&server).is_some_and(|r| measured_at <= r.measured_at + MIN_AGE_DIFFERENCE) {
                 continue;
             }
             self.readings.insert(
                 server,
-                Reading { digest, link_load: entry[2], uplink_load: entry[3], taken, sends: 0 },
+                Reading { digest, link_load: entry[2], uplink_load: entry[3], measured_at, send_count: 0 },
             );
             let report = LoadReport { link_load: decode_load(entry[2]), uplink_load: decode_load(entry[3]) };
             newer.push(PeerReport { server, load: report, load_age: age, ..PeerReport::default() });
--- a/crates/platform/src/session_registry/connections.rs
+++ b/crates/platform/src/session_registry/connections.rs
@@ -8,7 +8,7 @@
 impl SessionRegistry {
     /// Adds a connection that was accepted at `now`.
     pub fn connection_opened(&mut self, conn: ConnId, now: Duration) {
-        self.conns.insert(conn, Conn { opened: now, ..Conn::default() });
+        self.conns.insert(conn, Conn { opened_at: now, ..Conn::default() });
     }
 
     /// Removes a connection. Its pending set-ups are abandoned and returned.
@@ -57,7 +57,7 @@
     /// evicted for a later one, unless there is no other choice.
     pub fn eviction_candidate(&self, now: Duration) -> Option<ConnId> {
         let idle = |c: &Conn| {
-            c.pending.is_empty() && (c.message_received || c.opened + FIRST_MESSAGE_TIMEOUT <= now)
+            c.pending.is_empty() && (c.message_received || c.opened_at + FIRST_MESSAGE_TIMEOUT <= now)
         };
         let first =
             |matches: &dyn Fn(&Conn) -> bool| self.conns.iter().find(|(_, c)| matches(c)).map(|(id, _)| *id);
--- a/crates/platform/src/session_registry/mod.rs
+++ b/crates/platform/src/session_registry/mod.rs
@@ -35,11 +35,11 @@
     conn: ConnId,
     state: State,
     /// Cause of the release to send to the viewer once the session has ended; `None` if it gets none.
-    cause: Option<i64>,
+    release_cause: Option<i64>,
     /// True if the server may still hold the session.
-    held: bool,
+    held_by_server: bool,
     /// Time at which the session was established.
-    established: Duration,
+    established_at: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -49,10 +49,10 @@
     /// True once a session has been established on the connection.
     carried_session: bool,
     /// Number of established sessions that were set up on the connection.
-    established: usize,
+    established_count: usize,
     /// True once a complete message has arrived.
     message_received: bool,
-    opened: Duration,
+    opened_at: Duration,
     /// True once the connection is being closed; nothing more is written on it.
     closing: bool,
 }
@@ -110,9 +110,9 @@
         let session = Session {
             conn,
             state: State::Pending(viewer),
-            cause: None,
-            held: false,
-            established: Duration::ZERO,
+            release_cause: None,
+            held_by_server: false,
+            established_at: Duration::ZERO,
         };
         self.sessions.insert(sid.clone(), session);
         self.pending.insert(viewer, sid.clone());
@@ -136,8 +136,8 @@
         }
         match established {
             Some((server, since)) => {
-                session.established = since;
-                (session.state, session.cause, session.held) =
+                session.established_at = since;
+                (session.state, session.release_cause, session.held_by_server) =
                     (State::Established(server), Some(cause::RESET), true);
                 self.index_established(conn, server, &sid);
             }
@@ -150,15 +150,18 @@
 
     /// Adds a session that an earlier incarnation set up and that is handed over after a start.
     pub fn adopt(&mut self, sid: &SessionId, conn: ConnId, server: ServerId, since: Duration) {
-        let (state, cause) = (State::Established(server), Some(cause::RESET));
-        self.sessions.insert(sid.clone(), Session { conn, state, cause, held: true, established: since });
+        let (state, release_cause) = (State::Established(server), Some(cause::RESET));
+        self.sessions.insert(
+            sid.clone(),
+            Session { conn, state, release_cause, held_by_server: true, established_at: since },
+        );
         self.index_established(conn, server, sid);
     }
 
     fn index_established(&mut self, conn: ConnId, server: ServerId, sid: &SessionId) {
         self.by_server.entry(server).or_default().insert(sid.clone());
         if let Some(c) = self.conns.get_mut(&conn) {
-            c.established += 1;
+            c.established_count += 1;
         }
     }
 
@@ -180,7 +183,7 @@
         }
         match self.sessions.get_mut(sid) {
             Some(session) => {
-                session.cause = None;
+                session.release_cause = None;
                 TeardownOutcome::Established
             }
             None => TeardownOutcome::Unknown,
@@ -194,14 +197,14 @@
             return false;
         }
         let Some(session) = self.sessions.get_mut(sid) else { return false };
-        session.held = false;
-        session.cause = session.cause.map(|_| cause).filter(|c| *c != cause::CANCELLED);
+        session.held_by_server = false;
+        session.release_cause = session.release_cause.map(|_| cause).filter(|c| *c != cause::CANCELLED);
         true
     }
 
     /// Sessions at a server that were established before that time.
     pub fn established_before(&self, server: ServerId, time: Duration) -> Vec<SessionId> {
-        let older = |sid: &&SessionId| self.sessions.get(*sid).is_some_and(|s| s.established < time);
+        let older = |sid: &&SessionId| self.sessions.get(*sid).is_some_and(|s| s.established_at < time);
         self.by_server.get(&server).into_iter().flatten().filter(older).cloned().collect()
     }
 
@@ -225,6 +228,6 @@
 
     /// Returns whether a session is established and has not been released by its server.
     pub fn may_be_held_by_server(&self, sid: &str) -> bool {
-        self.sessions.get(sid).is_some_and(|s| s.held && matches!(s.state, State::Established(_)))
+        self.sessions.get(sid).is_some_and(|s| s.held_by_server && matches!(s.state, State::Established(_)))
     }
 }
--- a/crates/platform/src/session_registry/releases.rs
+++ b/crates/platform/src/session_registry/releases.rs
@@ -15,9 +15,9 @@
             }
         }
         if let Some(c) = self.conns.get_mut(&session.conn) {
-            c.established -= 1;
+            c.established_count -= 1;
         }
-        let cause = session.cause?;
+        let cause = session.release_cause?;
         let own = Some(session.conn).filter(|c| self.conns.get(c).is_some_and(|c| !c.closing));
         match own {
             Some(conn) => Some(Release { conn, sid: sid.clone(), cause }),
@@ -30,8 +30,9 @@
     pub fn route_release(&mut self, sid: &SessionId, cause: i64) -> Option<Release> {
         let carriers = || self.conns.iter().rev().filter(|(_, c)| c.carried_session && !c.closing);
         // Prefer one with a session: the viewer may close a connection without one at any moment.
-        let best =
-            || carriers().find(|(_, c)| c.established > 0).or_else(|| carriers().next()).map(|(id, _)| *id);
+        let best = || {
+            carriers().find(|(_, c)| c.established_count > 0).or_else(|| carriers().next()).map(|(id, _)| *id)
+        };
         match best() {
             Some(conn) => Some(Release { conn, sid: sid.clone(), cause }),
             None => {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,15 +1,15 @@
 //! Settings of one instance, as the simulator's first message and `NODE_CONFIG` both contain them, converted to the types
 //! of the decision module. Nothing is decided here.
 
-mod figures;
+mod numbers;
 mod wire;
 
 use cloverhollow::{Class, Limits, RetryBudget, Rules, Rung, Settings, Tenant};
 use cloverhollow_session::{ClassConfig, CoreConfig};
-use figures::Whole;
+use numbers::Whole;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{WireGrade, WireSetup};
+use wire::{WireGrade, WireSettings};
 
 /// Converts milliseconds to a duration. Negative values and NaN become zero; values above 1e14 ms (about 3000 years) are
 /// reduced to it.
@@ -82,14 +82,14 @@
 /// # Errors
 /// The first invalid field, and what is wrong with it.
 pub fn read(value: serde_json::Value) -> Result<SiteSettings, String> {
-    let wire: WireSetup =
+    let wire: WireSettings =
         serde_path_to_error::deserialize(value).map_err(|e| format!("`{}`: {}", e.path(), e.inner()))?;
     wire.check()?;
     let peer_datagrams = wire.limits.peers;
     let (connect, idle_close) = (wire.limits.connect_timeout.0, wire.limits.idle_close.0);
     let connect_timeout = if connect.is_zero() { DEFAULT_CONNECT_TIMEOUT } else { connect };
     let domain = wire.domain;
-    let at = |list: &[Whole], i: usize| list.get(i).map(|w| w.0);
+    let get = |list: &[Whole], i: usize| list.get(i).map(|w| w.0);
     let highest_rung = domain.level_kb.len().saturating_sub(1);
     let class = |(i, grade): (usize, &WireGrade)| Class {
         // Without a target the deadline is used: with a target of zero each first attempt would end at once.
@@ -100,10 +100,10 @@
         at_most_once: grade.effect != IDEMPOTENT,
         worth: grade.importance.0,
         rate_scale: domain.scale_by_class.get(i).map_or(1.0, |s| s.0),
-        min_rung: at(&domain.floor_by_class, i).unwrap_or(0),
-        max_rung: at(&domain.class_top, i).unwrap_or(highest_rung),
+        min_rung: get(&domain.floor_by_class, i).unwrap_or(0),
+        max_rung: get(&domain.class_top, i).unwrap_or(highest_rung),
         live: domain.class_live.get(i).copied().unwrap_or(false),
-        max_sessions_per_title: at(&domain.seats, i).unwrap_or(0),
+        max_sessions_per_title: get(&domain.seats, i).unwrap_or(0),
     };
     let worth = |i: usize| domain.ladder_worth.get(i).map_or(0.0, |w| w.0);
     let rates = domain.level_kb.iter().enumerate();
--- a/crates/platform/src/settings/figures.rs
+++ b/crates/platform/src/settings/numbers.rs
@@ -23,11 +23,11 @@
 
 /// Number from 0.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Figure(pub(super) f64);
+pub(super) struct NonNegative(pub(super) f64);
 
-impl<'de> Deserialize<'de> for Figure {
+impl<'de> Deserialize<'de> for NonNegative {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        deserialize_in_range(d, "0 to 1e12", |v| v >= 0.0).map(Figure)
+        deserialize_in_range(d, "0 to 1e12", |v| v >= 0.0).map(NonNegative)
     }
 }
 
--- a/crates/platform/src/settings/wire.rs
+++ b/crates/platform/src/settings/wire.rs
@@ -1,13 +1,13 @@
 //! The settings as written, and the check that their fields agree. Fields that the platform may leave out are optional;
 //! fields that are present have to be valid. Struct fields are named as the keys of the settings.
 
-use super::figures::{Figure, Fraction, Millis, Positive, Whole};
+use super::numbers::{Fraction, Millis, NonNegative, Positive, Whole};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) struct WireSetup {
+pub(super) struct WireSettings {
     #[serde(default)]
     pub(super) balancers: Whole,
     #[serde(default)]
@@ -24,7 +24,7 @@
     #[serde(default)]
     pub(super) limits: WireLimits,
     #[serde(default)]
-    pub(super) over_share_worth: Figure,
+    pub(super) over_share_worth: NonNegative,
     #[serde(default)]
     pub(super) tenants: Vec<WireTenant>,
     #[serde(default)]
@@ -40,12 +40,12 @@
     pub(super) class_top: Vec<Whole>,
     pub(super) floor_by_class: Vec<Whole>,
     pub(super) join: Option<Fraction>,
-    pub(super) ladder_worth: Vec<Figure>,
+    pub(super) ladder_worth: Vec<NonNegative>,
     pub(super) level_kb: Vec<Positive>,
-    pub(super) link_unit_kb: Figure,
+    pub(super) link_unit_kb: NonNegative,
     pub(super) places: Whole,
-    pub(super) places_by_kind: Vec<Figure>,
-    pub(super) rack_link_kb: Figure,
+    pub(super) places_by_kind: Vec<NonNegative>,
+    pub(super) rack_link_kb: NonNegative,
     pub(super) scale_by_class: Vec<Positive>,
     pub(super) seats: Vec<Whole>,
     pub(super) shelves: Whole,
@@ -62,7 +62,7 @@
     #[serde(default)]
     pub(super) effect: String,
     #[serde(default)]
-    pub(super) importance: Figure,
+    pub(super) importance: NonNegative,
     pub(super) name: String,
 }
 
@@ -70,13 +70,13 @@
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct WireRules {
     pub(super) ask_within: Millis,
-    pub(super) budget_free: Option<Figure>,
+    pub(super) budget_free: Option<NonNegative>,
     pub(super) budget_span: Option<Millis>,
     pub(super) cold: Millis,
     pub(super) cold_from: Fraction,
-    pub(super) extra_share: Option<Figure>,
+    pub(super) extra_share: Option<NonNegative>,
     pub(super) fall: Millis,
-    pub(super) fall_multiple: Figure,
+    pub(super) fall_multiple: NonNegative,
 }
 
 #[derive(Deserialize, Default)]
@@ -95,10 +95,10 @@
 pub(super) struct WireTenant {
     pub(super) name: String,
     #[serde(default)]
-    pub(super) quota_per_s: Figure,
+    pub(super) quota_per_s: NonNegative,
 }
 
-impl WireSetup {
+impl WireSettings {
     /// Checks the fields against each other.
     ///
     /// # Errors
--- a/crates/platform/tests/gossip.rs
+++ b/crates/platform/tests/gossip.rs
@@ -10,7 +10,7 @@
 
 const START: Duration = Duration::from_secs(100);
 
-/// Gossip state with `servers` listed servers, whose ids begin at `first`; ids differ between session managers.
+/// Gossip state with `servers` listed servers, whose ids begin at `first_id`; ids differ between session managers.
 fn gossip(servers: u64, first_id: u64, seed: u64) -> Gossip {
     let mut gossip = Gossip::new(GossipConfig::default(), 9, seed);
     gossip.set_servers((0..servers).map(|i| (first_id + i, 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(i + 1))));
@@ -83,7 +83,7 @@
     let mut b = gossip(300, 0, 2);
     let received = b.handle_datagram(at, &bytes);
     assert!(received.len() >= 40, "{}", received.len());
-    assert!(received.iter().all(|h| h.server >= 200), "only the newest readings");
+    assert!(received.iter().all(|report| report.server >= 200), "only the newest readings");
 }
 
 #[test]
@@ -126,7 +126,7 @@
     b.set_servers(keys.into_iter());
     (1..4).for_each(|i| a.record_reading(START, i, Some(0.5), None));
     let (at, bytes) = next_datagram(&mut a, START).unwrap();
-    assert_eq!(b.handle_datagram(at, &bytes).iter().map(|h| h.server).collect::<Vec<_>>(), [3]);
+    assert_eq!(b.handle_datagram(at, &bytes).iter().map(|report| report.server).collect::<Vec<_>>(), [3]);
 }
 
 /// Of 300 session managers, each with sessions at a few servers, all know the loads of most servers after five seconds,
@@ -151,7 +151,7 @@
             if let Some((to, datagram)) = all[i].poll(now) {
                 bytes += datagram.len();
                 let to = if to >= i { to + 1 } else { to };
-                known[to].extend(all[to].handle_datagram(now, &datagram).iter().map(|h| h.server));
+                known[to].extend(all[to].handle_datagram(now, &datagram).iter().map(|report| report.server));
             }
         }
     }
--- a/crates/platform/tests/random_deployment/checks.rs
+++ b/crates/platform/tests/random_deployment/checks.rs
@@ -5,7 +5,7 @@
 use cloverhollow_session::*;
 
 impl Front {
-    pub(super) fn carry_out(&mut self, command: Command<u32, ()>) {
+    pub(super) fn execute(&mut self, command: Command<u32, ()>) {
         let settings = &self.site.settings;
         match command {
             Command::Send(s) => {
@@ -40,8 +40,9 @@
                     s.rung,
                     class.min_rung
                 );
-                let same_title = |o: &&SessionState| {
-                    (o.title, o.class) == (session.title, session.class) && (o.playing || o.attempt.is_some())
+                let same_title = |other: &&SessionState| {
+                    (other.title, other.class) == (session.title, session.class)
+                        && (other.playing || other.attempt.is_some())
                 };
                 let taken = self.sessions.values().filter(same_title).count();
                 assert!(
@@ -52,19 +53,19 @@
                 self.sessions.get_mut(&s.sid).unwrap().attempt = Some((s.attempt, self.rng.bool()));
             }
             Command::Cancel { attempt, reason } => {
-                let open = self.sessions.values().find_map(|h| h.attempt.filter(|(a, _)| *a == attempt));
+                let open = self.sessions.values().find_map(|s| s.attempt.filter(|(a, _)| *a == attempt));
                 match (open, reason) {
                     (None, _) | (Some((_, true)), CancelReason::Drained) => {}
-                    (Some((_, true)), _) => self.ended(attempt, AttemptEnd::Unanswered),
-                    (Some((_, false)), _) => self.ended(attempt, AttemptEnd::NeverSent),
+                    (Some((_, true)), _) => self.end_attempt(attempt, AttemptEnd::Unanswered),
+                    (Some((_, false)), _) => self.end_attempt(attempt, AttemptEnd::NeverSent),
                 }
             }
             Command::Answer { viewer, answer } => {
                 if self.disconnected.remove(&viewer) {
                     return;
                 }
-                let is_match = |h: &SessionState| h.waiting.is_some_and(|(v, _)| v == viewer);
-                let found = self.sessions.iter_mut().find(|(_, h)| is_match(h));
+                let is_match = |s: &SessionState| s.waiting.is_some_and(|(v, _)| v == viewer);
+                let found = self.sessions.iter_mut().find(|(_, s)| is_match(s));
                 let (sid, session) = found.expect("response to a viewer that does not wait");
                 session.waiting = None;
                 self.answers += 1;
@@ -93,9 +94,11 @@
         }
     }
 
-    pub(super) fn ended(&mut self, attempt: AttemptId, end: AttemptEnd) {
-        let is_match = |h: &SessionState| h.attempt.is_some_and(|(a, _)| a == attempt);
-        let Some((sid, session)) = self.sessions.iter_mut().find(|(_, h)| is_match(h)) else { return };
+    pub(super) fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) {
+        let is_match = |s: &SessionState| s.attempt.is_some_and(|(a, _)| a == attempt);
+        let Some((sid, session)) = self.sessions.iter_mut().find(|(_, s)| is_match(s)) else {
+            return;
+        };
         session.attempt = None;
         session.possibly_executed |=
             matches!(end, AttemptEnd::Reset | AttemptEnd::Error { .. } | AttemptEnd::Unanswered);
--- a/crates/platform/tests/random_deployment/front.rs
+++ b/crates/platform/tests/random_deployment/front.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-type In = Input<u32, ()>;
+type CoreInput = Input<u32, ()>;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -25,12 +25,12 @@
     directory: ServerDirectory,
     pub(super) rng: Rng,
     now: Duration,
-    next: u64,
+    last_id: u64,
     cursor: u64,
     pub(super) sessions: BTreeMap<SessionId, SessionState>,
     pub(super) states: BTreeMap<u64, WireState>,
     pub(super) disconnected: BTreeSet<ViewerId>,
-    pub(super) inputs: Vec<In>,
+    pub(super) inputs: Vec<CoreInput>,
     transcript: Arc<Mutex<Vec<String>>>,
     pub answers: usize,
     pub streams: usize,
@@ -49,14 +49,14 @@
         let (directory, sessions, states, disconnected) = Default::default();
         let (rng, now) = (Rng::with_seed(seed ^ 0x5eed), ms(86_400_000));
         let (inputs, answers, streams) = (Vec::new(), 0, 0);
-        let (next, cursor) = (0, 0);
+        let (last_id, cursor) = (0, 0);
         Front {
             site,
             core,
             directory,
             rng,
             now,
-            next,
+            last_id,
             cursor,
             sessions,
             states,
@@ -89,22 +89,22 @@
         }
         self.settle();
         let overdue =
-            self.sessions.iter().find(|(_, h)| h.waiting.is_some_and(|(_, until)| until < self.now));
+            self.sessions.iter().find(|(_, s)| s.waiting.is_some_and(|(_, until)| until < self.now));
         assert!(overdue.is_none(), "{:?} got no response in time", overdue.map(|(sid, _)| sid));
     }
 
     /// Ends all attempts and lets time pass, so that every viewer gets its response.
     pub fn finish(&mut self) {
         for _ in 0..8 {
-            while let Some((attempt, _)) = self.sessions.values().find_map(|h| h.attempt) {
-                self.ended(attempt, AttemptEnd::Reset);
+            while let Some((attempt, _)) = self.sessions.values().find_map(|s| s.attempt) {
+                self.end_attempt(attempt, AttemptEnd::Reset);
                 self.settle();
             }
             self.now += ms(2_000);
             self.settle();
         }
         assert!(
-            self.sessions.values().all(|h| h.waiting.is_none() && h.attempt.is_none()),
+            self.sessions.values().all(|s| s.waiting.is_none() && s.attempt.is_none()),
             "a viewer or an attempt is left"
         );
         assert_eq!(self.core.session_count(), self.sessions.len());
@@ -115,7 +115,7 @@
             let inputs = std::mem::take(&mut self.inputs);
             let commands = self.core.step(self.now, inputs);
             self.core.check().unwrap_or_else(|violation| panic!("{violation}"));
-            commands.into_iter().for_each(|c| self.carry_out(c));
+            commands.into_iter().for_each(|c| self.execute(c));
         }
         self.disconnected.clear();
     }
@@ -146,9 +146,9 @@
     }
 
     fn arrival(&mut self, sid: &SessionId, max_wait: Duration) -> Arrival<u32> {
-        self.next += 1;
+        self.last_id += 1;
         Arrival {
-            viewer: ViewerId(self.next),
+            viewer: ViewerId(self.last_id),
             sid: sid.clone(),
             title: self.rng.u64(0..5),
             class: self.rng.usize(0..self.site.settings.classes.len()),
@@ -182,7 +182,7 @@
 
     fn viewer_requests(&mut self) {
         for _ in 0..self.rng.usize(1..5) {
-            let sid: SessionId = format!("{:016x}", self.next).into();
+            let sid: SessionId = format!("{:016x}", self.last_id).into();
             let max_wait = ms(self.rng.u64(0..4_000));
             let arrival = self.arrival(&sid, max_wait);
             self.insert(&arrival, Some((arrival.viewer, self.now + max_wait)));
@@ -192,7 +192,7 @@
 
     fn hand_over(&mut self) {
         let Some(server) = self.directory.server_id(&format!("s{}", self.rng.u64(0..12))) else { return };
-        let sid: SessionId = format!("{:016x}", self.next).into();
+        let sid: SessionId = format!("{:016x}", self.last_id).into();
         let arrival = self.arrival(&sid, ms(4_000_000));
         self.insert(&arrival, None);
         self.inputs.push(Input::Adopted { arrival, server });
@@ -200,12 +200,12 @@
 
     fn random_session(&mut self, matches: impl Fn(&SessionState) -> bool) -> Option<SessionId> {
         let candidates: Vec<_> =
-            self.sessions.iter().filter(|(_, h)| matches(h)).map(|(sid, _)| sid.clone()).collect();
+            self.sessions.iter().filter(|(_, s)| matches(s)).map(|(sid, _)| sid.clone()).collect();
         self.rng.choice(candidates)
     }
 
     fn disconnect(&mut self) {
-        let Some(sid) = self.random_session(|h| h.waiting.is_some()) else { return };
+        let Some(sid) = self.random_session(|s| s.waiting.is_some()) else { return };
         let session = self.sessions.get_mut(&sid).unwrap();
         let (viewer, _) = session.waiting.take().unwrap();
         self.disconnected.insert(viewer);
@@ -216,14 +216,14 @@
     }
 
     fn attempt_event(&mut self) {
-        let Some(sid) = self.random_session(|h| h.attempt.is_some()) else { return };
+        let Some(sid) = self.random_session(|s| s.attempt.is_some()) else { return };
         let (attempt, sent) = self.sessions[&sid].attempt.unwrap();
         match self.rng.u8(0..8) {
-            0 => self.ended(attempt, AttemptEnd::NotConnected),
+            0 => self.end_attempt(attempt, AttemptEnd::NotConnected),
             1 => self.sessions.get_mut(&sid).unwrap().attempt = Some((attempt, true)),
-            2 if sent => self.ended(attempt, AttemptEnd::Reset),
-            3 if sent => self.ended(attempt, AttemptEnd::Error { status: 47 }),
-            4 if sent => self.ended(attempt, AttemptEnd::Full),
+            2 if sent => self.end_attempt(attempt, AttemptEnd::Reset),
+            3 if sent => self.end_attempt(attempt, AttemptEnd::Error { status: 47 }),
+            4 if sent => self.end_attempt(attempt, AttemptEnd::Full),
             _ => {
                 let session = self.sessions.get_mut(&sid).unwrap();
                 (session.attempt, session.playing, session.possibly_executed) = (None, true, true);
@@ -233,7 +233,7 @@
     }
 
     fn session_end(&mut self) {
-        if let Some(sid) = self.random_session(|h| h.playing) {
+        if let Some(sid) = self.random_session(|s| s.playing) {
             self.inputs.push(Input::SessionEnded { sid, reason: EndReason::Ended, load: Load::default() });
         }
     }
@@ -241,7 +241,7 @@
     fn session_report(&mut self) {
         let x = self.rng.f64() * 1.4;
         let report = *self.rng.choice(&[DeliveredShare(x.min(1.0)), LinkLoad(x), UplinkLoad(x)]).unwrap();
-        if let Some(sid) = self.random_session(|h| h.playing) {
+        if let Some(sid) = self.random_session(|s| s.playing) {
             self.inputs.push(Input::SessionReport { sid, report });
         }
     }
--- a/crates/platform/tests/session_registry.rs
+++ b/crates/platform/tests/session_registry.rs
@@ -92,7 +92,7 @@
     let mut registry = with_connections(1);
     let sid = establish(&mut registry, "a", 1);
     assert_eq!(registry.teardown(&sid), TeardownOutcome::Established);
-    assert!(registry.may_be_held_by_server(&sid), "its server has not been told yet");
+    assert!(registry.may_be_held_by_server(&sid), "its server has not released it yet");
     assert_eq!(registry.end_session(&sid), None);
     let pending = SessionId::from("b");
     registry.insert_setup(&pending, ConnId(1), ViewerId(9));
--- a/crates/platform/tests/zero_settings.rs
+++ b/crates/platform/tests/zero_settings.rs
@@ -142,8 +142,8 @@
                     Servers::Silent | Servers::None => _ = open.insert(s.attempt, s.sid),
                 },
                 Command::Cancel { attempt, .. } => {
-                    let recalled = open.remove(&attempt);
-                    inputs.extend(recalled.map(|_| end(attempt, AttemptEnd::Unanswered)));
+                    let cancelled = open.remove(&attempt);
+                    inputs.extend(cancelled.map(|_| end(attempt, AttemptEnd::Unanswered)));
                 }
                 Command::Answer { viewer, .. } => {
                     assert!(answers.insert(viewer, now).is_none(), "{case}: two responses");
