--- a/crates/decisions/src/interface/mod.rs
+++ b/crates/decisions/src/interface/mod.rs
@@ -135,7 +135,7 @@
     UplinkLoad(f64),
 }
 
-/// A peer's knowledge of a server, sent when this front has none that is newer.
+/// A peer's knowledge of a server. Reported only if it is newer than this front's own.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerReport {
     /// Identifier of the server.
@@ -164,7 +164,7 @@
     pub complete_for: Duration,
     /// Age of the last set-up that a previous incarnation may have sent; `None` if it sent none.
     pub last_setup_age: Option<Duration>,
-    /// Time for which the server list may still lack servers that restarted while this front was down.
+    /// Time for which the server list may not yet show restarts of servers while this front was down.
     pub list_delay: Duration,
 }
 
@@ -181,8 +181,8 @@
     Playing(RequestId, u32, ServerId, Duration),
     /// Report on a playing session.
     SessionReport(RequestId, ServerId, SessionReport),
-    /// End of an attempt: request, index of the attempt, server and outcome. The flag is true if the request
-    /// has ended with it and must not be retried.
+    /// End of an attempt: request, index of the attempt, server, outcome, flag, and the load that the server
+    /// reported. The flag is true if the request ended with the attempt and must not be retried.
     AttemptEnded(RequestId, u32, ServerId, AttemptOutcome, bool, LoadReport),
     /// Departure of the viewer; the request needs no answer any more.
     ViewerLeft(RequestId),
--- a/crates/decisions/src/interface/settings.rs
+++ b/crates/decisions/src/interface/settings.rs
@@ -51,7 +51,7 @@
     pub target_setup_time: Duration,
     /// True if a set-up may be executed only once.
     pub at_most_once: bool,
-    /// Worth of one second at a rung of worth 1.
+    /// Relative value to the operator of playing for one second at a rung of worth 1.
     pub worth: f64,
     /// Factor between the class's rates and those of the ladder.
     pub rate_scale: f64,
@@ -70,7 +70,7 @@
 pub struct Rung {
     /// Bit rate of the rung.
     pub rate_kb_per_s: f64,
-    /// Worth of playing at the rung; 1 for the highest.
+    /// Relative value of playing at the rung; 1 for the highest.
     pub worth: f64,
 }
 
--- a/crates/decisions/src/policy/account.rs
+++ b/crates/decisions/src/policy/account.rs
@@ -25,9 +25,10 @@
     pub(super) own_at_reading: f64,
     /// Number of this front's sessions at all servers at that time.
     pub(super) sessions_at_reading: f64,
+    /// Time of the last reading: when it arrived, or for a peer's reading when it was taken. `None` before the first.
     pub(super) read_at: Option<Duration>,
-    /// Least demand of the other fronts that follows from short delivery. A reading within one reporting round
-    /// does not clear it, because an intermittent link may read low in between.
+    /// Minimum demand of the other fronts, inferred from short delivery. A reading within one report interval and
+    /// delay does not clear it, because an intermittent link may read low in between.
     pub(super) short_delivery: FadingValue,
     /// Time at which this front last stepped sessions down on the link or uplink.
     pub(super) last_step_down_at: Duration,
@@ -41,9 +42,9 @@
     /// (one session of this front may be chance); or the fronts that received the same reading, which are
     /// those with a session here, add sessions here.
     pub(super) fn growth_of_others(&self, peers: &PeerEstimate) -> f64 {
-        let here = (self.reserved - self.own_at_reading).max(0.0)
+        let growth_here = (self.reserved - self.own_at_reading).max(0.0)
             * (self.others_at_reading * peers.sessions_per_link).clamp(0.0, peers.peer_count);
-        here.max(
+        growth_here.max(
             (peers.own_sessions - self.sessions_at_reading - 1.0).max(0.0)
                 * peers.session_rate
                 * peers.peer_count
@@ -81,19 +82,19 @@
         past.map_or(0.0, |p| p.1)
     }
 
-    /// Applies a reading taken `age` ago. A reading below the utilization limit ends short delivery if it
-    /// comes more than a reporting round after the last report of it; otherwise the link would stay empty
-    /// long after a temporary loss of capacity. A link whose capacity comes and goes more slowly than that is
-    /// filled again in between.
+    /// Applies a reading taken `age` ago. `report_round` is one report interval and delay. A reading below the
+    /// utilization limit ends short delivery if it arrives more than `report_round` after the last report of short
+    /// delivery; otherwise the link would stay empty long after a temporary loss of capacity. A link whose capacity
+    /// varies more slowly than `report_round` is filled again in between.
     pub(super) fn apply_reading(
         &mut self,
         now: Duration,
         age: Duration,
         reading: f64,
-        round: Duration,
+        report_round: Duration,
         sessions: f64,
     ) {
-        if reading < MAX_UTILIZATION && self.short_delivery.1 + round < now {
+        if reading < MAX_UTILIZATION && self.short_delivery.1 + report_round < now {
             self.short_delivery = FadingValue::default();
         }
         (self.read_at, self.sessions_at_reading) = (Some(now), sessions);
--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -38,11 +38,11 @@
             .filter(|(id, server)| error_server != Some(**id) && self.is_usable(request, server));
         let mut candidates: Vec<_> = usable.map(|(id, server)| (self.utilization(server), *id)).collect();
         self.rng.shuffle(&mut candidates); // ties are broken at random
-        let order = |(used, id): &(Utilization, ServerId)| {
+        let sort_key = |(used, id): &(Utilization, ServerId)| {
             used.link.max(used.uplink)
                 + if self.servers[id].entry.in_other_zone { OTHER_ZONE_PENALTY } else { 0.0 }
         };
-        candidates.sort_by(|a, b| order(a).total_cmp(&order(b)));
+        candidates.sort_by(|a, b| sort_key(a).total_cmp(&sort_key(b)));
         candidates.into_iter().find_map(|(used, id)| {
             let fits = |rung: &usize| self.fits(request, *rung, &self.servers[&id], &used);
             (min_rung..=max_rung).rev().find(fits).map(|rung| (id, rung))
@@ -107,12 +107,12 @@
                 .min(self.settings.classes[request.class].max_rung)
                 .min(self.settings.ladder.len() - 1);
             let used = self.utilization(server);
-            let sessions_alike = |rate: f64| {
+            let estimated_fronts = |rate: f64| {
                 1.0 + (rate / self.session_rate)
                     .clamp(0.0, self.settings.front_count.saturating_sub(1) as f64)
             };
-            let on_link = sessions_alike(server.link.others * server.rated_capacity);
-            let on_uplink = sessions_alike(
+            let link_fronts = estimated_fronts(server.link.others * server.rated_capacity);
+            let uplink_fronts = estimated_fronts(
                 self.rack_of_server(server).map_or(0.0, |rack| rack.uplink.others * rack.uplink_capacity),
             );
             let demand = |rung: usize| self.demand(server, request.class, rung, false);
@@ -128,12 +128,12 @@
                     p - (p * (1.0 - p) / n).max(0.0).sqrt()
                 };
                 let uplink = |demand: &Demand| demand.rate / used.uplink_capacity;
-                share_with_room(used.link, old.link, lower.link, new.link, on_link).min(share_with_room(
+                share_with_room(used.link, old.link, lower.link, new.link, link_fronts).min(share_with_room(
                     used.uplink,
                     uplink(&old),
                     uplink(&lower),
                     uplink(&new),
-                    on_uplink,
+                    uplink_fronts,
                 ))
             };
             let choices: Vec<_> = (old_rung + 1..=max_rung).map(|rung| (rung, probability(rung))).collect();
--- a/crates/decisions/src/policy/attempts.rs
+++ b/crates/decisions/src/policy/attempts.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Handles the end of an attempt. The request is placed again unless `closed` or it needs no answer.
+    /// Handles the end of an attempt. The request is placed again unless `closed` is true or it needs no answer.
     pub(super) fn attempt_ended(
         &mut self,
         id: RequestId,
--- a/crates/decisions/src/policy/ledger.rs
+++ b/crates/decisions/src/policy/ledger.rs
@@ -55,7 +55,8 @@
         let links: Vec<_> = serving.map(|server| (server.rated_capacity, &server.link)).collect();
         let (mean, deviation) = typical_demand(now, &links, |capacity| peers(total_capacity, capacity));
         for server in self.servers.values_mut() {
-            // Half of the unread links are above the mean, and an overfull link costs more than an empty one.
+            // Half of the links without a reading are above the mean, and an overfull link costs more than an
+            // empty one.
             server.link.others = server.link.estimate_others(
                 now,
                 mean + deviation,
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -23,10 +23,10 @@
 const FADE_TIME: Duration = Duration::from_secs(30);
 /// Shortest time between two steps down of one session, as in the design.
 const STEP_DOWN_INTERVAL: Duration = Duration::from_secs(30);
-/// Delivered share below which a link counts as short (the bound below which servers report it).
+/// Delivered share below which a link counts as short of capacity; servers report shares below the same bound.
 const MIN_DELIVERED_SHARE: f64 = 0.98;
 /// Length of a time slot at a cold server, in overload windows.
-const SLOT_WINDOWS: f64 = 2.0;
+const SLOT_LENGTH_WINDOWS: f64 = 2.0;
 /// Longest time from the decision on a set-up to its arrival, including the difference of the fronts' clocks.
 const MAX_SETUP_DELAY: Duration = Duration::from_millis(250);
 /// Part of `MAX_SETUP_DELAY` for the network and the difference of the clocks.
@@ -61,6 +61,7 @@
     link: LinkAccount,
     /// Capacity of the link when the server is warm, kB a second.
     rated_capacity: f64,
+    /// Demand of this front's sessions at the server.
     own: OwnDemand,
     /// Start of the server's warm-up: its last known start, or its first success after a possible restart.
     cold_since: Option<Duration>,
@@ -68,10 +69,10 @@
     may_have_restarted: bool,
     /// Failures since the last success.
     failures: u32,
-    /// The last answer was an error and the one before it was not.
-    last_answer_was_error: bool,
+    /// An error was recorded since the last success. Only the first error of each request is recorded.
+    error_since_success: bool,
     suspended_until: Duration,
-    /// A set-up was sent to find out whether the server works again.
+    /// A set-up that tests whether the server works again has been sent and has not ended.
     probe_in_flight: bool,
     /// Time of the last report of short delivery, unless a report of full delivery came after it.
     short_delivery_at: Option<Duration>,
@@ -96,7 +97,7 @@
     state: SessionState,
     rung: usize,
     attempts: u32,
-    /// Server at which the last attempt got an error.
+    /// Server that last replied to the request with an error; not selected for it again.
     error_server: Option<ServerId>,
     /// A server may have executed an attempt.
     possibly_executed: bool,
@@ -130,9 +131,9 @@
     recovered_setup_at: Option<Duration>,
     /// Time until which any server may have restarted while this front was down.
     restarts_unknown_until: Duration,
-    /// Last fleet size event; `None` if there was none.
+    /// Content of the last fleet size event (`None` inside: no bound is known); `None` if there was none.
     fleet_size: Option<Option<usize>>,
-    /// Time by which the clock shared by all fronts is ahead.
+    /// Time by which the clock shared by all fronts is ahead of `now`.
     clock_offset: Duration,
     /// Requests to be placed again in this step.
     retry_queue: Vec<RequestId>,
@@ -140,7 +141,7 @@
     reported_servers: Vec<ServerId>,
     /// Time of the last estimate of the other fronts' demand.
     estimated_at: Option<Duration>,
-    /// Mean rate of this front's sessions at that time, kB a second.
+    /// Mean rate of this front's sessions at `estimated_at`, kB a second.
     session_rate: f64,
     /// For each class and rung, the utilization up to which the rung is granted.
     utilization_limits: Vec<Vec<f64>>,
@@ -227,15 +228,16 @@
 }
 
 /// Returns the utilization limit of each rung for a class: `MAX_UTILIZATION` up to the rung with the most
-/// worth per kB, and less for each rung above by how much less its step earns for its rate.
+/// worth per kB. For each rung above it, the limit is scaled down by the ratio of the worth per kB of its step
+/// to the best one, raised to `LIMIT_EXPONENT`.
 fn utilization_limits(settings: &Settings, class: &Class) -> Vec<f64> {
-    let mut best = 0.0f64;
+    let mut best_density = 0.0f64;
     let mut limits = Vec::new();
     for (i, rung) in settings.ladder.iter().enumerate() {
         let below = if i <= class.min_rung { Rung::default() } else { settings.ladder[i - 1] };
         let density = (rung.worth - below.worth) / (rung.rate_kb_per_s - below.rate_kb_per_s).max(EPSILON);
-        best = best.max(density);
-        let relative = if best > 0.0 { (density / best).clamp(0.0, 1.0) } else { 1.0 };
+        best_density = best_density.max(density);
+        let relative = if best_density > 0.0 { (density / best_density).clamp(0.0, 1.0) } else { 1.0 };
         limits.push(MAX_UTILIZATION * relative.powf(LIMIT_EXPONENT));
     }
     limits
--- a/crates/decisions/src/policy/reports.rs
+++ b/crates/decisions/src/policy/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports, session reports, and stepping sessions down on links that are short.
+//! Load reports, session reports, and stepping sessions down on links that are short of capacity.
 
 use super::*;
 
@@ -84,9 +84,10 @@
         }
     }
 
-    /// Returns whether the uplink is short rather than a link: then all servers of the rack that this front
-    /// uses deliver short. Guards against one impaired server that makes half the fleet look full. May hurt:
-    /// wrong while only one server of the rack is in use.
+    /// Returns whether the uplink is short of capacity rather than a link: then more than four fifths of the
+    /// rack's servers that this front uses deliver less than their sessions' rates. Guards against one
+    /// impaired server that makes half the fleet look full. Drawback: wrong while only one server of the rack
+    /// is in use.
     pub(super) fn uplink_is_short(&self, rack_id: u64, link_load: f64) -> bool {
         let uplink_load = self.racks.get(&rack_id).and_then(|rack| rack.uplink.last_reading());
         let (mut short, mut sufficient) = (0, 0);
@@ -104,17 +105,17 @@
         uplink_load.map_or(link_load < 1.0, |x| x > link_load) && short > sufficient * 4
     }
 
-    /// Steps sessions of a short server or rack down until this front has freed its part of the missing
-    /// capacity: first those that lose the least worth for each kB, each by one rung and at most once in
-    /// `STEP_DOWN_INTERVAL`.
+    /// Steps sessions of a server or rack that is short of capacity down until this front has freed its part
+    /// of the missing capacity. Sessions that lose the least worth for each kB go first, each by one rung and
+    /// at most once in `STEP_DOWN_INTERVAL`.
     pub(super) fn step_down(&mut self, server_id: ServerId, rack_id: Option<u64>, share: f64) {
         let now = self.now;
         let (mut total_rate, mut steps) = (0.0, Vec::new());
         for (id, session) in &self.sessions {
             let SessionState::Playing(playing_at, _) = session.state else { continue };
-            let its_rack_id =
+            let session_rack_id =
                 self.servers.get(&playing_at).and_then(|server| self.rack_id_of(server.entry.cell));
-            if playing_at != server_id && (rack_id.is_none() || its_rack_id != rack_id) {
+            if playing_at != server_id && (rack_id.is_none() || session_rack_id != rack_id) {
                 continue;
             }
             let class = &self.settings.classes[session.request.class];
--- a/crates/decisions/src/policy/servers.rs
+++ b/crates/decisions/src/policy/servers.rs
@@ -46,7 +46,7 @@
     /// Applies a peer's knowledge of a server that this front's list contains. Guards a restarted front
     /// against drains, restarts and failures that it missed, and against the assumption that the fleet is
     /// empty. A report can only make this front more cautious; its own list and observations override it.
-    /// May hurt: a peer's mistake suspends a server for some seconds.
+    /// Drawback: a peer's mistake suspends a server for some seconds.
     pub(super) fn apply_peer_report(&mut self, report: &PeerReport) {
         let read_at = self.now.saturating_sub(report.load_age);
         let Some(server) = self.servers.get_mut(&report.server) else { return };
@@ -64,7 +64,8 @@
         if report.failed && unused {
             self.record_failure(report.server, report.may_have_restarted, "a peer's word");
         }
-        let is_older = |m: Option<&LinkAccount>| m.and_then(|m| m.read_at).is_none_or(|t| t < read_at);
+        let is_older =
+            |own: Option<&LinkAccount>| own.and_then(|own| own.read_at).is_none_or(|t| t < read_at);
         let rack_id = self.rack_id_of(cell);
         let link_load = report
             .load
@@ -121,16 +122,18 @@
     /// If that is one or more for each front, each sends its share, evenly spaced. Otherwise fronts have time
     /// slots, which all of them compute alike from the shared clock, their index and the server's key: a slot
     /// opens each `interval` and stays open for a while, for one set-up. At most `max_setups` slots overlap a
-    /// window, including set-ups that arrive late. A front without an index has no slot. May hurt: a slot in
+    /// window, including set-ups that arrive late. A front without an index has no slot. Drawback: a slot in
     /// which no request arrives is unused.
     pub(super) fn has_setup_slot(&self, server: &Server) -> bool {
         let rules = &self.settings.rules;
         let max_streams = self.settings.max_streams_by_kind.get(server.entry.kind).copied().unwrap_or(1.0);
-        let budget = rules.overload_multiple * max_streams / secs(rules.warm_up).max(EPSILON)
+        let nominal_setups = rules.overload_multiple * max_streams / secs(rules.warm_up).max(EPSILON)
             * rules.cold_capacity_fraction
             * secs(rules.overload_window);
-        let max_setups =
-            (budget + rules.overload_margin + rules.overload_margin_root * budget.max(0.0).sqrt()).floor();
+        let max_setups = (nominal_setups
+            + rules.overload_margin
+            + rules.overload_margin_root * nominal_setups.max(0.0).sqrt())
+        .floor();
         let (fronts, window) =
             (self.settings.front_count.max(1), secs(rules.overload_window + MAX_SETUP_DELAY));
         let elapsed = |t: Duration| secs(self.now.saturating_sub(t));
@@ -140,14 +143,14 @@
         if max_setups >= fronts as f64 {
             let gap = window / (max_setups / fronts as f64).floor();
             // At a server that may have restarted unnoticed, the first set-up need not wait.
-            let recovered = self.recovered_setup_at.filter(|_| self.is_cold(server));
+            let recovered_setup_at = self.recovered_setup_at.filter(|_| self.is_cold(server));
             return server.last_setup_at.is_none_or(|t| elapsed(t) >= gap)
-                && recovered.is_none_or(|t| elapsed(t) >= window);
+                && recovered_setup_at.is_none_or(|t| elapsed(t) >= window);
         }
         let Some(index) = self.settings.front_index.filter(|_| self.fleet_size.is_none()) else {
             return false;
         };
-        let slot_length = secs(rules.overload_window) * SLOT_WINDOWS;
+        let slot_length = secs(rules.overload_window) * SLOT_LENGTH_WINDOWS;
         let interval = (window + slot_length) / max_setups;
         let offset = (index as u64 + server.entry.shared_key % fronts as u64) as f64 * interval;
         let since_opening =
@@ -161,7 +164,7 @@
 
     /// Returns the time within which a set-up to this server, decided just now, must be sent or dropped;
     /// `None` if there is no such limit. Guards a cold server against set-ups that arrive after their time
-    /// slot because the front was suspended or the connection was made late. May hurt: a dropped set-up uses
+    /// slot because the front was suspended or the connection was made late. Drawback: a dropped set-up uses
     /// up an attempt.
     pub fn max_send_delay(&self, server_id: ServerId) -> Option<Duration> {
         let server = self.servers.get(&server_id)?;
@@ -169,11 +172,12 @@
             .then_some(MAX_SETUP_DELAY - TRANSIT_ALLOWANCE)
     }
 
-    /// Restores the history of previous incarnations. Guards against a restarted front that spends again what
-    /// its previous incarnation spent, of the retry budget and at cold servers: whatever is not proven counts
-    /// as spent for one window. Guards as well against servers that restarted while it was down and that its
-    /// list does not show yet: each gets set-ups as a cold server does. May hurt: for that time requests are
-    /// refused after one attempt, as are those that arrive in a rush after the restart.
+    /// Restores the history of previous incarnations. Guards against a restarted front that exceeds the retry
+    /// budget or the limits at cold servers, because its previous incarnation used part of them: for one
+    /// window everything that is not proven unused counts as used. Also guards against restarts of servers
+    /// while this front was down that the list does not show yet: each server gets set-ups as a cold one
+    /// does. Drawback: for that time requests are refused after one attempt, as are those that arrive in a
+    /// rush after the restart.
     pub(super) fn restore_history(&mut self, history: &RecoveredHistory) {
         let now = self.now;
         if let Some(budget) = self.settings.rules.retry_budget {
@@ -188,7 +192,7 @@
 
     /// Sets the bound of the fleet's size. Guards cold servers against fronts that assume too few others: the
     /// shares of fronts with different bounds add up to no more than the limit. Fronts have no indices from
-    /// then on. May hurt: without a bound, cold servers get no set-ups.
+    /// then on. Drawback: without a bound, cold servers get no set-ups.
     pub(super) fn set_fleet_size(&mut self, max_fronts: Option<usize>) {
         self.fleet_size = Some(max_fronts);
         self.settings.front_count = max_fronts.unwrap_or(self.settings.front_count);
@@ -196,15 +200,15 @@
     }
 
     /// Records an error reply. The request itself may be at fault, so that no server can serve it: an error
-    /// counts as the server's failure only if its previous answer was an error too, and only the first error
-    /// of a request counts. Guards against a client whose set-ups would suspend all servers. May hurt: one
-    /// more set-up goes to a server that begins to fail.
+    /// counts as the server's failure only if another error came since its last success, and only the first
+    /// error of a request counts. Guards against a client whose set-ups would suspend all servers. Drawback:
+    /// one more set-up goes to a server that begins to fail.
     pub(super) fn record_error(&mut self, id: RequestId, server_id: ServerId) {
         let first =
             self.sessions.get_mut(&id).and_then(|session| session.error_server.replace(server_id)).is_none();
         let Some(server) = self.servers.get_mut(&server_id) else { return };
         server.probe_in_flight = false;
-        if (first && std::mem::replace(&mut server.last_answer_was_error, true)) || server.failures > 0 {
+        if (first && std::mem::replace(&mut server.error_since_success, true)) || server.failures > 0 {
             self.record_failure(server_id, false, "errors");
         }
     }
@@ -229,7 +233,7 @@
     pub(super) fn record_success(&mut self, server_id: ServerId) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&server_id) else { return };
-        (server.probe_in_flight, server.last_answer_was_error) = (false, false);
+        (server.probe_in_flight, server.error_since_success) = (false, false);
         if server.may_have_restarted {
             server.may_have_restarted = false;
             server.cold_since = server.cold_since.max(Some(now));
--- a/crates/node/src/event_loop/commands.rs
+++ b/crates/node/src/event_loop/commands.rs
@@ -39,8 +39,8 @@
                         self.send_waiting_releases(conn);
                         self.apply_early_release(&route.sid, route.server, route.address);
                     }
-                    // The set-up used the id of a session whose viewer left as it began to play; nobody
-                    // follows it.
+                    // The set-up used the id of a session that still plays although its viewer has left. The
+                    // new viewer gets an error response, so nobody uses the session.
                     Answer::Follow(route) => {
                         self.inputs.push(session_ended_input(
                             route.sid.clone(),
@@ -61,7 +61,7 @@
                 let line = Line::new(Verb::Rate, &sid).with("rung", rung);
                 self.links.send_line(server, line);
             }
-            // This process persists nothing and has no peers to ask.
+            // This process persists nothing and requests no knowledge from peers.
             Command::Persist(_) | Command::KnowledgeMerged { .. } => {}
         }
     }
--- a/crates/node/src/event_loop/lines.rs
+++ b/crates/node/src/event_loop/lines.rs
@@ -70,8 +70,8 @@
         Ok(())
     }
 
-    /// Handles an answer to a set-up that was cancelled, or to none. Nobody waits for its session, so the
-    /// server is told to release it, unless the session is established or being set up at that process. On a
+    /// Handles an answer that belongs to a cancelled set-up or to none. Nobody waits for its session, so a
+    /// release is sent to the server, unless the session is established or being set up at that process. On a
     /// closing connection the release has already been sent.
     fn unexpected_answer(&mut self, source: &LineSource, line: &Line) -> Result<(), DropReason> {
         if source.is_closing {
@@ -155,7 +155,7 @@
     /// Handles a report on an established session.
     fn session_report(&mut self, source: &LineSource, line: &Line) -> Result<(), DropReason> {
         let report = server_reports::session_report(line).ok_or(DropReason::Malformed)?;
-        // Reports arrive with this delay, so the load was measured that long ago.
+        // Reports arrive late by `report_delay`, so the load was measured that long ago.
         let measured_at = self.clock.now().saturating_sub(self.site.settings.report_delay);
         if let Some(gossip) = &mut self.gossip {
             gossip.record_load(measured_at, source.server, report);
@@ -169,11 +169,12 @@
     /// server id.
     fn session_server(&self, source: &LineSource, sid: &str) -> Option<ServerId> {
         let server = self.registry.server_of(sid)?;
-        let same = server == source.server || self.core.server_list().address(server) == Some(source.address);
-        same.then_some(server)
+        let is_sender =
+            server == source.server || self.core.server_list().address(server) == Some(source.address);
+        is_sender.then_some(server)
     }
 
-    /// Returns why a line about a session that is not established at the sender has no effect.
+    /// Returns the reason for dropping a line about a session that is not established at the sender.
     fn not_established_reason(&self, sid: &str) -> DropReason {
         if !self.registry.contains(sid) {
             DropReason::UnknownSession
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -46,7 +46,7 @@
 const MAX_EVENTS_PER_STEP: usize = 256;
 /// Interval between two maintenance runs of the connections to video servers.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after the first ping (OPTIONS) during which viewers hand over sessions that are already playing.
+/// Time after the first ping (OPTIONS) of any viewer during which viewers hand over sessions that already play.
 const HANDOVER_PERIOD: Duration = Duration::from_secs(10);
 
 pub(crate) type NodeCore = Core<SessionPolicy, SetupRequest, String>;
@@ -66,7 +66,7 @@
 
 /// The event loop's ends of the queues to and from other tasks.
 pub(crate) struct Queues {
-    /// Passed to the tasks of connections to video servers.
+    /// Sender of the event loop's own queue, cloned for the tasks of connections to video servers.
     pub(crate) event_tx: mpsc::Sender<LoopEvent>,
     /// Viewers' connections that have received something.
     pub(crate) ready_rx: mpsc::Receiver<ConnId>,
@@ -76,8 +76,11 @@
 pub(crate) struct EventLoop {
     pub(crate) core: NodeCore,
     pub(crate) clock: Clock,
+    /// Settings of this instance, from the configuration file.
     pub(crate) site: Arc<SiteSettings>,
+    /// Video servers that the command channel lists, with their ids.
     pub(crate) directory: ServerDirectory,
+    /// Pending set-ups, established sessions and viewers' connections.
     pub(crate) registry: SessionRegistry,
     links: Links,
     /// Releases received before their sessions were established here.
@@ -201,7 +204,7 @@
         answered
     }
 
-    /// Second half of a step, followed by whole steps while there are inputs.
+    /// Second half of a step, followed by whole steps while its commands produce inputs.
     fn decide(&mut self) {
         loop {
             let commands = self.core.decide();
--- a/crates/node/src/event_loop/servers.rs
+++ b/crates/node/src/event_loop/servers.rs
@@ -41,8 +41,8 @@
     }
 
     /// Handles a session that has ended in the core: its viewer is notified if a release is still due. A
-    /// session that is not established here began to play just as its viewer left; its server is told to
-    /// release it, or it would keep a session that nobody uses.
+    /// session that is not established here began to play just as its viewer left; a release is sent to its
+    /// server, which would otherwise keep a session that nobody uses.
     pub(super) fn session_ended(&mut self, sid: &SessionId, server: ServerId) {
         if !self.registry.is_established_at(server, sid) {
             self.links.send_line(server, Line::finish(sid, cause::CANCELLED));
@@ -68,14 +68,15 @@
         }
     }
 
-    /// Handles the replacement of a server's process at `replaced_at`: the sessions of the previous process
-    /// are lost.
+    /// Handles the replacement of a server's process at `replaced_at`: the sessions of the previous process are
+    /// lost. With [`Duration::MAX`] all sessions at the server and all connections to it are the previous one's.
     pub(super) fn process_replaced(&mut self, server: ServerId, replaced_at: Duration) {
         let lost = self.end_sessions_at(server, replaced_at);
         self.links.process_replaced(server, replaced_at, &lost);
     }
 
-    /// Ends the sessions established at a server before that time, which the server has lost. Returns them.
+    /// Ends the sessions that were established at a server earlier than `before` and that the server has lost.
+    /// Returns their ids. [`Duration::MAX`] ends all sessions at the server.
     pub(super) fn end_sessions_at(&mut self, server: ServerId, before: Duration) -> Vec<SessionId> {
         let lost = self.registry.established_before(server, before);
         self.links.drop_queued(server);
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -11,8 +11,8 @@
 /// Time after the request to terminate during which viewers' set-ups are still accepted. Later ones are
 /// refused, so that a kill leaves none unanswered.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Upper limit of the viewers' longest deadline when the time of the kill is estimated, and lower limit of it
-/// when the process ends by itself.
+/// Deadline that the shutdown times assume for viewers. The estimated time of the kill uses this or the viewers'
+/// longest deadline, whichever is shorter; the time at which the process ends by itself uses the longer one.
 const REFERENCE_DEADLINE: Duration = Duration::from_secs(3);
 /// Time before the earliest kill at which idle connections are closed; a viewer whose set-up crosses the
 /// close sends it again.
@@ -30,12 +30,12 @@
 }
 
 impl ShutdownSchedule {
-    /// `max_deadline` is the longest time that any viewer waits for an answer.
+    /// Computes the schedule. `max_deadline` is the longest time that any viewer waits for an answer.
     pub(crate) fn new(max_deadline: Duration) -> Self {
-        let kill = max_deadline.min(REFERENCE_DEADLINE) + ACCEPT_PERIOD;
+        let earliest_kill = max_deadline.min(REFERENCE_DEADLINE) + ACCEPT_PERIOD;
         ShutdownSchedule {
             refuse_after: ACCEPT_PERIOD,
-            close_idle_after: kill - CLOSE_BEFORE_KILL,
+            close_idle_after: earliest_kill - CLOSE_BEFORE_KILL,
             exit_after: max_deadline.max(REFERENCE_DEADLINE) + ACCEPT_PERIOD,
         }
     }
--- a/crates/node/src/event_loop/tests.rs
+++ b/crates/node/src/event_loop/tests.rs
@@ -91,10 +91,10 @@
         let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let stream = Arc::new(listener.accept().await.unwrap().0);
         let conn = Arc::new(ViewerConn::new(ConnId(id), &stream, self.notifier.clone()));
-        let (commands, command_rx) = mpsc::channel(64);
+        let (command_tx, command_rx) = mpsc::channel(64);
         self.event_loop.handle_event(LoopEvent::ViewerConnected(
             ConnId(id),
-            ViewerHandle { commands, conn: conn.clone() },
+            ViewerHandle { command_tx, conn: conn.clone() },
         ));
         TestViewer { conn, _stream: stream, client, command_rx }
     }
--- a/crates/node/src/event_loop/updates.rs
+++ b/crates/node/src/event_loop/updates.rs
@@ -33,7 +33,7 @@
             }
         }
         if let Some(gossip) = &mut self.gossip {
-            gossip.gossip.set_servers(self.directory.name_digests());
+            gossip.protocol.set_servers(self.directory.name_digests());
         }
         self.inputs.push(Input::ListUpdate(update));
     }
@@ -45,7 +45,8 @@
 
     pub(super) fn gossip_received(&mut self, bytes: &[u8]) {
         let now = self.clock.now();
-        let reports = self.gossip.as_mut().map(|g| g.gossip.handle_datagram(now, bytes)).unwrap_or_default();
+        let reports =
+            self.gossip.as_mut().map(|g| g.protocol.handle_datagram(now, bytes)).unwrap_or_default();
         self.inputs.extend(reports.into_iter().map(Input::PeerReport));
     }
 
--- a/crates/node/src/event_loop/viewers.rs
+++ b/crates/node/src/event_loop/viewers.rs
@@ -36,8 +36,8 @@
         self.receive_from(conn);
     }
 
-    /// Handles everything received from viewers so far. Every step begins with it, so that nothing is decided
-    /// for a viewer that has left.
+    /// Handles everything received from viewers so far. Each step begins with this function, so that nothing is
+    /// decided for a viewer that has left.
     pub(super) fn receive_from_viewers(&mut self) {
         for _ in 0..self.ready_rx.len() {
             let Ok(conn) = self.ready_rx.try_recv() else { return };
@@ -186,8 +186,8 @@
         let reply_to = || ReplyTarget { cseq: Some("1".into()), session: Some(sid.to_string()) };
         if let Some(name) = playing_at {
             if self.clock.now() > self.handover_until {
-                // Sessions are handed over only shortly after the start; a later one would belong to no
-                // server.
+                // Sessions are handed over only shortly after the start; a session handed over later would be
+                // established at no server.
                 return Err(reply_to());
             }
             self.adopt_session(conn, &sid, &name, arrival);
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -22,7 +22,7 @@
 /// Gossip protocol state and the socket that carries it.
 #[derive(Debug)]
 pub(crate) struct GossipSocket {
-    pub(crate) gossip: Gossip,
+    pub(crate) protocol: Gossip,
     socket: Arc<UdpSocket>,
     peers: Vec<SocketAddr>,
 }
@@ -45,18 +45,18 @@
         };
         let peers: Vec<_> = all_peers.iter().copied().filter(|p| *p != listen).collect();
         tokio::spawn(receive(socket.clone(), event_tx));
-        let gossip = Gossip::new(GossipConfig::default(), peers.len(), seed ^ SEED_MASK);
-        Some(GossipSocket { gossip, socket, peers })
+        let protocol = Gossip::new(GossipConfig::default(), peers.len(), seed ^ SEED_MASK);
+        Some(GossipSocket { protocol, socket, peers })
     }
 
     /// Records a load reported by a video server, measured at `measured_at`.
     pub(crate) fn record_load(&mut self, measured_at: Duration, server: ServerId, report: SessionReport) {
         match report {
             SessionReport::LinkLoad(load) => {
-                self.gossip.record_reading(measured_at, server, Some(load), None)
+                self.protocol.record_reading(measured_at, server, Some(load), None)
             }
             SessionReport::UplinkLoad(load) => {
-                self.gossip.record_reading(measured_at, server, None, Some(load))
+                self.protocol.record_reading(measured_at, server, None, Some(load))
             }
             SessionReport::DeliveredShare(_) | SessionReport::Rung(_) => {}
         }
@@ -64,7 +64,7 @@
 
     /// Sends one datagram if one is due.
     pub(crate) fn send_due(&mut self, now: Duration) {
-        let Some((peer, bytes)) = self.gossip.poll(now) else { return };
+        let Some((peer, bytes)) = self.protocol.poll(now) else { return };
         if let Some(peer) = self.peers.get(peer) {
             let _ = self.socket.try_send_to(&bytes, *peer);
         }
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -41,19 +41,19 @@
     first: Option<PendingSetup>,
     event_tx: mpsc::Sender<LoopEvent>,
 ) -> LinkHandle {
-    let (commands, mut command_rx) = mpsc::channel(MAX_QUEUED_COMMANDS);
+    let (command_tx, mut command_rx) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let task = tokio::spawn(async move {
         let (id, mut recent_writes) = (target.id, RecentWrites::default());
-        let down = run(target, first, &mut command_rx, &mut recent_writes, &event_tx).await;
+        let end = run(target, first, &mut command_rx, &mut recent_writes, &event_tx).await;
         // No more commands can be queued from here on, and those in the queue were never written.
         command_rx.close();
         while let Ok(command) = command_rx.try_recv() {
             recent_writes.add_unwritten(command);
         }
         let _ =
-            event_tx.send(LoopEvent::LinkDown(id, down, recent_writes.unread_releases(Instant::now()))).await;
+            event_tx.send(LoopEvent::LinkDown(id, end, recent_writes.unread_releases(Instant::now()))).await;
     });
-    LinkHandle { commands, task: task.abort_handle() }
+    LinkHandle { command_tx, task: task.abort_handle() }
 }
 
 /// Cause of the end of an established connection.
@@ -168,7 +168,7 @@
                 },
                 Ok(_) => {
                     if linger_until.is_some() && !out.has_remaining() {
-                        recent_writes.all_read(); // the server read to the end and closed in turn
+                        recent_writes.mark_all_read(); // the server read to the end and closed in turn
                     }
                     return TransferEnd::Broken;
                 }
@@ -176,7 +176,7 @@
             },
             () = sleep_until(write_deadline), if writing => return TransferEnd::Broken,
             () = sleep_until(linger_until.unwrap_or(write_deadline)), if linger_until.is_some() && !writing => {
-                recent_writes.all_read(); // the kernel delivers the bytes it accepted while the server is reachable
+                recent_writes.mark_all_read(); // the kernel delivers accepted bytes while the server is reachable
                 return TransferEnd::Broken;
             }
         }
--- a/crates/node/src/link/recent_writes.rs
+++ b/crates/node/src/link/recent_writes.rs
@@ -66,7 +66,7 @@
     }
 
     /// Records that the server has read everything written so far.
-    pub(super) fn all_read(&mut self) {
+    pub(super) fn mark_all_read(&mut self) {
         (self.written_batches, self.retained_bytes) = (VecDeque::new(), 0);
     }
 
--- a/crates/node/src/links/outcomes.rs
+++ b/crates/node/src/links/outcomes.rs
@@ -112,7 +112,7 @@
         link.is_closing = true;
         tracing::info!(link = id.0, server = link.server, ?reason, "closing a connection to a video server");
         self.monitor.link_closing(link.server, id);
-        if !link.handle.close(reason.linger()) && !link.handle.commands.is_closed() {
+        if !link.handle.close(reason.linger()) && !link.handle.command_tx.is_closed() {
             self.links.remove(&id);
         }
     }
--- a/crates/node/src/links/sending.rs
+++ b/crates/node/src/links/sending.rs
@@ -45,8 +45,8 @@
     }
 
     /// Handles the replacement of a server process: connections opened before `replaced_at` lead to the
-    /// previous process. It is told to release the `lost` sessions in case it is still running, and each of
-    /// its connections is closed once no set-up is open on it.
+    /// previous process. Releases of the `lost` sessions are sent to it in case it is still running, and each
+    /// of its connections is closed once no set-up is open on it.
     pub(crate) fn process_replaced(&mut self, server: ServerId, replaced_at: Duration, lost: &[SessionId]) {
         let is_previous =
             |l: &Link| l.server == server && l.is_up && !l.is_closing && l.opened_at < replaced_at;
--- a/crates/node/src/links/tests/sending.rs
+++ b/crates/node/src/links/tests/sending.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// The session may be established although its answer is unusable, so the server is told to release it.
+/// The session may be established although its answer is unusable, so a release is sent to the server.
 #[tokio::test]
 async fn session_with_a_truncated_or_malformed_answer_is_released() {
     use tokio::io::AsyncWriteExt;
--- a/crates/node/src/links/types.rs
+++ b/crates/node/src/links/types.rs
@@ -19,6 +19,7 @@
     pub(crate) line: Bytes,
     /// Time after which the set-up must not be sent any more.
     pub(crate) send_deadline: Duration,
+    /// Viewer waiting for the set-up; `None` if unknown.
     pub(crate) waiter: Option<SetupWaiter>,
 }
 
--- a/crates/node/src/listen.rs
+++ b/crates/node/src/listen.rs
@@ -53,9 +53,9 @@
         let _ = stream.set_nodelay(true);
         last_id += 1;
         let id = ConnId(last_id);
-        let (commands, command_rx) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let (command_tx, command_rx) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let conn = Arc::new(ViewerConn::new(id, &stream, notifier.clone()));
-        let handle = ViewerHandle { commands, conn: conn.clone() };
+        let handle = ViewerHandle { command_tx, conn: conn.clone() };
         // Messages received before the event loop knows the connection are taken when it does.
         tokio::spawn(async move {
             serve(stream, &conn, command_rx).await;
@@ -102,7 +102,7 @@
     fn collect(
         &mut self,
         first: Option<ViewerCommand>,
-        commands: &mut mpsc::Receiver<ViewerCommand>,
+        command_rx: &mut mpsc::Receiver<ViewerCommand>,
     ) -> WriteState {
         let mut next = first;
         loop {
@@ -114,7 +114,7 @@
             if self.bytes.len() >= WRITE_BATCH_BYTES {
                 return WriteState::Open;
             }
-            next = match commands.try_recv() {
+            next = match command_rx.try_recv() {
                 Ok(command) => Some(command),
                 Err(mpsc::error::TryRecvError::Empty) => return WriteState::Open,
                 Err(mpsc::error::TryRecvError::Disconnected) => None,
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -44,7 +44,7 @@
     /// Time on `clock` after which the set-up must not be sent any more.
     pub(crate) send_deadline: Duration,
     pub(crate) clock: Clock,
-    /// The viewer waiting for the set-up; it is not sent if the viewer has left. `None` if unknown.
+    /// Viewer waiting for the set-up, which is not sent if the viewer has left. `None` if the viewer is unknown.
     pub(crate) waiter: Option<SetupWaiter>,
 }
 
@@ -86,7 +86,7 @@
 /// Replaces the contents of `out` with the bytes of `first` and of all commands queued behind it.
 pub(crate) fn collect_commands(
     first: Option<LinkCommand>,
-    commands: &mut mpsc::Receiver<LinkCommand>,
+    command_rx: &mut mpsc::Receiver<LinkCommand>,
     out: &mut Vec<u8>,
 ) -> CommandBatch {
     out.clear();
@@ -102,7 +102,7 @@
             Some(LinkCommand::Close(linger)) => return CommandBatch { close_linger: Some(linger), ..batch },
             None => return CommandBatch { close_linger: Some(Duration::ZERO), ..batch },
         }
-        match commands.try_recv() {
+        match command_rx.try_recv() {
             Ok(command) => next = Some(command),
             Err(_) => return batch,
         }
@@ -113,7 +113,7 @@
 /// at once.
 #[derive(Debug)]
 pub(crate) struct LinkHandle {
-    pub(crate) commands: mpsc::Sender<LinkCommand>,
+    pub(crate) command_tx: mpsc::Sender<LinkCommand>,
     pub(crate) task: AbortHandle,
 }
 
@@ -121,18 +121,18 @@
     /// Queues bytes. Returns false if the queue is full because the server reads too slowly, or if the
     /// connection has ended.
     pub(crate) fn write(&self, bytes: Bytes) -> bool {
-        self.commands.capacity() > RESERVED_SLOTS && self.write_last(bytes)
+        self.command_tx.capacity() > RESERVED_SLOTS && self.write_last(bytes)
     }
 
     /// Queues the last bytes before a close, in a reserved slot. Returns false if the connection has ended.
     pub(crate) fn write_last(&self, bytes: Bytes) -> bool {
-        self.commands.try_send(LinkCommand::Write(bytes)).is_ok()
+        self.command_tx.try_send(LinkCommand::Write(bytes)).is_ok()
     }
 
     /// Queues a set-up; returns it as the error if the queue is full or the connection has ended.
     pub(crate) fn send_setup(&self, setup: PendingSetup) -> Result<(), PendingSetup> {
-        match self.commands.try_reserve() {
-            Ok(slot) if self.commands.capacity() >= RESERVED_SLOTS => {
+        match self.command_tx.try_reserve() {
+            Ok(slot) if self.command_tx.capacity() >= RESERVED_SLOTS => {
                 slot.send(LinkCommand::Setup(setup));
                 Ok(())
             }
@@ -142,13 +142,13 @@
 
     /// Returns whether the task has received every queued command.
     pub(crate) fn is_queue_empty(&self) -> bool {
-        self.commands.is_closed() || self.commands.capacity() == self.commands.max_capacity()
+        self.command_tx.is_closed() || self.command_tx.capacity() == self.command_tx.max_capacity()
     }
 
     /// Closes the connection after the queued bytes and keeps reading for `linger`. Returns false if the
     /// command could not be queued; dropping the handle then closes the connection.
     pub(crate) fn close(&self, linger: Duration) -> bool {
-        self.commands.try_send(LinkCommand::Close(linger)).is_ok()
+        self.command_tx.try_send(LinkCommand::Close(linger)).is_ok()
     }
 }
 
--- a/crates/node/src/viewer_conn.rs
+++ b/crates/node/src/viewer_conn.rs
@@ -214,20 +214,20 @@
 /// are written.
 #[derive(Debug)]
 pub(crate) struct ViewerHandle {
-    pub(crate) commands: mpsc::Sender<ViewerCommand>,
+    pub(crate) command_tx: mpsc::Sender<ViewerCommand>,
     pub(crate) conn: Arc<ViewerConn>,
 }
 
 impl ViewerHandle {
     /// Queues bytes. Returns false if the viewer reads too slowly or the connection has ended.
     pub(crate) fn write(&self, bytes: Bytes) -> bool {
-        self.conn.add_queued(bytes.len()) && self.commands.try_send(ViewerCommand::Write(bytes)).is_ok()
+        self.conn.add_queued(bytes.len()) && self.command_tx.try_send(ViewerCommand::Write(bytes)).is_ok()
     }
 
     /// Closes the connection after the queued bytes. Returns false if the command could not be queued;
     /// dropping the handle then closes the connection.
     pub(crate) fn close(&self) -> bool {
-        self.commands.try_send(ViewerCommand::Close).is_ok()
+        self.command_tx.try_send(ViewerCommand::Close).is_ok()
     }
 }
 
--- a/crates/out/src/acceptor.rs
+++ b/crates/out/src/acceptor.rs
@@ -1,7 +1,8 @@
-//! Acceptor side of the register: its promise, its accepted value, and the age of each lease.
+//! Paxos acceptor of the register, the one replicated value that holds all leases: its promise, its accepted
+//! value, and the age of each lease in that value.
 //!
-//! An acceptor that starts without its persisted state has forgotten promises and values. Besides the
-//! majority that did not forget, three rules keep this harmless:
+//! An acceptor that starts without its persisted state has forgotten promises and values. Agreement then rests
+//! on the majority of acceptors that did not forget, and on three rules:
 //!
 //! - After [`recovery_time`], all attempts that began before the restart have ended: a proposer uses promises
 //!   for [`ROUND_TIMEOUT`] after its prepare message, and an acceptor accepts a value for [`ROUND_TIMEOUT`]
@@ -53,7 +54,7 @@
     is_current: bool,
     /// Highest ballot promised.
     promised: Ballot,
-    /// Time at which this incarnation first promised that ballot.
+    /// Time at which this incarnation first promised that ballot; `None` if only an earlier one did.
     promised_at: Option<Duration>,
     /// Value accepted last, and its ballot.
     accepted: Option<(Ballot, Register)>,
@@ -132,7 +133,8 @@
         }
     }
 
-    /// Accepts the value if this incarnation promised its ballot and the promise is still valid.
+    /// Accepts the value if this incarnation promised its ballot and the promise is still valid. Returns `None`,
+    /// that is no response, if another incarnation promised, the promise has expired or the value is invalid.
     fn accept(
         &mut self,
         now: Duration,
@@ -159,7 +161,7 @@
         Some(Message::Accepted { ballot, witness, memory: self.memory_state(now) })
     }
 
-    /// Leases of the accepted value: bit number in [`Message::Promise`], id and hold time.
+    /// Leases of the accepted value: bit number in `expired_leases` of [`Message::Promise`], id and hold time.
     fn leases(&self) -> impl Iterator<Item = (usize, LeaseId, Duration)> + '_ {
         let value = self.accepted.iter().map(|accepted| &accepted.1);
         let permits = value.clone().flat_map(|value| value.permits.iter().enumerate());
@@ -176,7 +178,7 @@
         self.lease_starts = starts;
     }
 
-    /// Bit set of the leases whose hold time has passed.
+    /// Bit set of the leases whose hold time has passed, with the bit numbers of [`Acceptor::leases`].
     fn expired_leases(&self, now: Duration) -> u32 {
         let expired = |(_, id, hold_time): &(usize, LeaseId, Duration)| {
             self.lease_starts.get(id).is_some_and(|start| now.saturating_sub(*start) > *hold_time)
@@ -208,12 +210,12 @@
     /// # Errors
     /// The first invariant that does not hold.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
-        let is = |good, what| ensure(good, "acceptor", self.address.port().into(), what);
-        is(
+        let check = |holds, invariant| ensure(holds, "acceptor", self.address.port().into(), invariant);
+        check(
             self.accepted.as_ref().is_none_or(|accepted| accepted.0 <= self.promised),
             "accepted ballot is not above the promised one",
         )?;
-        is(
+        check(
             self.leases().count() == self.lease_starts.len(),
             "each lease of the accepted value has exactly one start",
         )?;
--- a/crates/platform/src/channel.rs
+++ b/crates/platform/src/channel.rs
@@ -13,11 +13,13 @@
 pub struct ChannelUpdate {
     /// Sequence number of the event.
     pub cursor: u64,
+    /// Change of the server list; `None` if the event does not concern it.
     nodes: Option<Nodes>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 struct Nodes {
+    /// True if `endpoints` are all servers, false if only those that changed.
     #[serde(default)]
     snapshot: bool,
     endpoints: Vec<Endpoint>,
@@ -31,11 +33,13 @@
     zone: String,
     #[serde(default, rename = "type")]
     kind: String,
+    /// Cell of the server.
     #[serde(default)]
     group: u64,
     status: Status,
     #[serde(default = "default_weight")]
     weight: f64,
+    /// Unix time at which the server's process started, ms; 0 if unknown.
     #[serde(default)]
     since_ms: u64,
 }
@@ -48,7 +52,9 @@
 #[serde(rename_all = "snake_case")]
 enum Status {
     InService,
+    /// Finishes its sessions and accepts no new ones.
     Terminating,
+    /// Removed from the list.
     Terminated,
 }
 
@@ -81,6 +87,7 @@
     cursor: u64,
 }
 
+/// Value of the configuration's field `known`.
 #[derive(Deserialize)]
 struct InitialUpdates {
     #[serde(default)]
--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -28,6 +28,7 @@
 #[derive(Debug, Default)]
 pub struct ServerDirectory {
     cursor: u64,
+    /// True once an event with servers has been applied. The first such event counts as a snapshot.
     initialized: bool,
     last_id: ServerId,
     by_name: HashMap<String, Listing>,
@@ -83,7 +84,7 @@
         };
         self.check(update.cursor, &nodes, snapshot)?;
         (self.cursor, self.initialized) = (update.cursor, true);
-        // In order, because one event may remove a name and list it again.
+        // Endpoints are applied in order, because one event may remove a name and list it again.
         let entries: Vec<_> =
             nodes.endpoints.into_iter().flat_map(|e| self.apply_endpoint(e, unix_ms, snapshot)).collect();
         if snapshot {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -21,6 +21,7 @@
     seed: String,
     limits: ResourceLimits,
     channel: SocketAddr,
+    /// Events of the command channel up to the start of the process.
     known: Value,
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -22,7 +22,7 @@
 /// Unit of an age on the wire; one byte then holds up to about ten seconds.
 const AGE_UNIT_MS: u128 = 40;
 /// Maximum time between the two lines in which a server reports the loads of its link and of its uplink.
-const SAME_REPORT: Duration = Duration::from_millis(100);
+const MAX_REPORT_SPLIT: Duration = Duration::from_millis(100);
 /// Minimum difference in age of a newer reading. A duplicate of a datagram that arrives late seems younger than it is;
 /// with a delay below this it is not taken for a newer reading.
 const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(200);
@@ -113,7 +113,7 @@
         let previous = self.readings.get(&server).copied();
         let Some(digest) = self.digests.get(&server).copied() else { return };
         // A server reports link and uplink in two lines: the second completes the reading of the first.
-        let previous = previous.filter(|r| measured_at.saturating_sub(r.measured_at) < SAME_REPORT);
+        let previous = previous.filter(|r| measured_at.saturating_sub(r.measured_at) < MAX_REPORT_SPLIT);
         let link_load =
             link_load.map_or(previous.map_or(UNKNOWN_LOAD, |r| r.link_load), |l| encode_load(Some(l)));
         let uplink_load =
--- a/crates/platform/src/link_monitor.rs
+++ b/crates/platform/src/link_monitor.rs
@@ -24,9 +24,9 @@
 /// other set-ups are repeated when no response arrives. With 3 s, set-ups of this kind failed when a zone was lost, and
 /// few connections were saved.
 const MAX_SILENCE_AT_MOST_ONCE: Duration = Duration::from_secs(1);
-/// Part of the server's idle time-out after which a link carries no set-up any more, since the server is about to close
-/// it. Without established sessions it is closed then.
-const IDLE_TIMEOUT_PART: f64 = 0.8;
+/// Fraction of the server's idle time-out after which a link carries no set-up any more, since the server is about to
+/// close it. Without established sessions it is closed then.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 /// Number of consecutive refused connections after which the process, and its sessions with it, counts as gone.
 const MAX_REFUSED: u32 = 2;
 /// Time without a successful connection and without a message after which the machine counts as gone.
@@ -36,7 +36,7 @@
 enum LinkState {
     /// Being opened, or carrying a set-up.
     Busy,
-    /// Up and without a set-up since that time.
+    /// Up, and without a set-up since the given time.
     Idle(Duration),
 }
 
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug, Default)]
-struct ServerState {
+struct ServerLinks {
     links: BTreeMap<LinkId, LinkState>,
     /// Time of the last message from the server.
     last_received: Duration,
@@ -83,7 +83,7 @@
 /// Links to all servers that have links or established sessions.
 #[derive(Debug)]
 pub struct LinkMonitor {
-    servers: HashMap<ServerId, ServerState>,
+    servers: HashMap<ServerId, ServerLinks>,
     /// Time without a message after which a server with sessions is probed by a new link.
     max_silence: Duration,
     /// Time without a set-up after which a link carries none any more.
@@ -104,7 +104,7 @@
         LinkMonitor {
             servers: HashMap::new(),
             max_silence,
-            stale_after: idle_close.mul_f64(IDLE_TIMEOUT_PART),
+            stale_after: idle_close.mul_f64(IDLE_TIMEOUT_FRACTION),
             max_idle,
         }
     }
--- a/crates/platform/src/session_registry/mod.rs
+++ b/crates/platform/src/session_registry/mod.rs
@@ -83,9 +83,12 @@
 #[derive(Debug, Default)]
 pub struct SessionRegistry {
     sessions: HashMap<SessionId, Session>,
+    /// Session of each pending set-up, by its viewer.
     pending: HashMap<ViewerId, SessionId>,
     conns: BTreeMap<ConnId, Conn>,
+    /// Established sessions at each server that has any.
     by_server: HashMap<ServerId, BTreeSet<SessionId>>,
+    /// Releases that wait for a connection, with their causes, oldest first.
     pending_releases: VecDeque<(SessionId, i64)>,
 }
 
@@ -202,7 +205,7 @@
         true
     }
 
-    /// Sessions at a server that were established before that time.
+    /// Sessions at a server that were established earlier than `time`.
     pub fn established_before(&self, server: ServerId, time: Duration) -> Vec<SessionId> {
         let older = |sid: &&SessionId| self.sessions.get(*sid).is_some_and(|s| s.established_at < time);
         self.by_server.get(&server).into_iter().flatten().filter(older).cloned().collect()
--- a/crates/platform/src/settings/wire.rs
+++ b/crates/platform/src/settings/wire.rs
@@ -8,85 +8,130 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct WireSettings {
+    /// Number of fronts.
     #[serde(default)]
     pub(super) balancers: Whole,
+    /// `on_request` if the server list has to be requested; otherwise it is pushed.
     #[serde(default)]
     pub(super) discovery: String,
     #[serde(default)]
     pub(super) domain: WireDomain,
+    /// Classes of sessions.
     #[serde(default)]
     pub(super) grades: Vec<WireGrade>,
+    /// Index of this front, from 0.
     pub(super) index: Option<Whole>,
+    /// Parameters of the placement rules.
     #[serde(default)]
     pub(super) invariants: WireRules,
+    /// Names of the kinds of servers.
     #[serde(default)]
     pub(super) kinds: Vec<String>,
     #[serde(default)]
     pub(super) limits: WireLimits,
+    /// Worth of traffic beyond a tenant's quota, as a fraction of its ordinary worth.
     #[serde(default)]
     pub(super) over_share_worth: NonNegative,
     #[serde(default)]
     pub(super) tenants: Vec<WireTenant>,
+    /// `none` if the weights of servers do not give the sizes of their links.
     #[serde(default)]
     pub(super) weights: String,
+    /// Zone of this front.
     #[serde(default)]
     pub(super) zone: String,
 }
 
+/// Cells, links and bit rates.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct WireDomain {
+    /// True for each class of live streams.
     pub(super) class_live: Vec<bool>,
+    /// Maximum rung of each class.
     pub(super) class_top: Vec<Whole>,
+    /// Minimum rung of each class.
     pub(super) floor_by_class: Vec<Whole>,
+    /// Load of a further viewer of the same live stream, as a fraction of its rate.
     pub(super) join: Option<Fraction>,
+    /// Worth of each rung.
     pub(super) ladder_worth: Vec<NonNegative>,
+    /// Rate of each rung, kB a second, lowest first.
     pub(super) level_kb: Vec<Positive>,
+    /// Capacity of a link for each unit of weight, kB a second.
     pub(super) link_unit_kb: NonNegative,
+    /// Number of cells.
     pub(super) places: Whole,
+    /// Maximum number of streams of a server of each kind.
     pub(super) places_by_kind: Vec<NonNegative>,
+    /// Mean capacity of a rack's uplink, kB a second; 0 if uplinks do not limit.
     pub(super) rack_link_kb: NonNegative,
+    /// Factor between the rates of each class and those of the ladder.
     pub(super) scale_by_class: Vec<Positive>,
+    /// Maximum number of sessions of one title, for each class.
     pub(super) seats: Vec<Whole>,
+    /// Number of racks.
     pub(super) shelves: Whole,
+    /// Interval between reports of a link's load.
     pub(super) told_every: Millis,
+    /// Delay of session reports.
     pub(super) told_late: Millis,
 }
 
+/// One class of sessions.
 #[derive(Deserialize)]
 pub(super) struct WireGrade {
+    /// Target set-up time.
     #[serde(default)]
     pub(super) aim: Millis,
+    /// Maximum waiting time of a viewer.
     #[serde(default)]
     pub(super) deadline: Millis,
+    /// `idempotent` or `at_most_once`.
     #[serde(default)]
     pub(super) effect: String,
+    /// Worth of one second at a rung of worth 1.
     #[serde(default)]
     pub(super) importance: NonNegative,
     pub(super) name: String,
 }
 
+/// Parameters of the placement rules.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct WireRules {
+    /// Maximum time between two requests for the server list.
     pub(super) ask_within: Millis,
+    /// Retries that are always allowed in a window.
     pub(super) budget_free: Option<NonNegative>,
+    /// Window of the retry budget.
     pub(super) budget_span: Option<Millis>,
+    /// Warm-up time of a server.
     pub(super) cold: Millis,
+    /// Fraction of its capacity that a server has at its start.
     pub(super) cold_from: Fraction,
+    /// Retries allowed for each request in a window.
     pub(super) extra_share: Option<NonNegative>,
+    /// Window in which the set-ups at a cold server are counted.
     pub(super) fall: Millis,
+    /// Multiple of its present capacity at which a cold server is overloaded.
     pub(super) fall_multiple: NonNegative,
 }
 
+/// Limits of clients, connections and attempts.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct WireLimits {
     pub(super) connect_timeout: Millis,
+    /// Time after which servers close an idle connection.
     pub(super) idle_close: Millis,
+    /// Maximum retry-after delay that clients respect.
     pub(super) max_retry_after: Millis,
+    /// Maximum number of attempts for one request.
     pub(super) most_tries: Option<Whole>,
+    /// True if clients respect a retry-after delay.
     pub(super) retry_after: bool,
+    /// True if session managers may send each other datagrams.
     pub(super) peers: bool,
 }
 
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -136,7 +136,7 @@
     let wait = Duration::from_millis(wait.ok_or("X-Setup-Ms is missing or out of range")?);
     let description =
         std::str::from_utf8(&message.body).map_err(|_| "description is not valid UTF-8")?.to_owned();
-    let route = Route::parse(message.header("X-Route").unwrap_or_default())?;
+    let route = RouteHeader::parse(message.header("X-Route").unwrap_or_default())?;
     let deadline = site.deadlines.get(class).copied().filter(|d| !d.is_zero());
     let arrival = Arrival {
         viewer: ViewerId(0),
@@ -163,17 +163,22 @@
 
 /// Parameters of the header `X-Route`, named as on the wire.
 #[derive(Default)]
-struct Route {
+struct RouteHeader {
+    /// First of the cells that hold the title.
     home: u64,
+    /// Number of cells that hold the title.
     copies: u64,
+    /// Maximum rung.
     top: Option<u64>,
+    /// True if the viewer repeats an earlier request.
     again: bool,
+    /// Name of the server at which the session plays already.
     at: Option<String>,
 }
 
-impl Route {
-    fn parse(text: &str) -> Result<Route, &'static str> {
-        let mut route = Route::default();
+impl RouteHeader {
+    fn parse(text: &str) -> Result<RouteHeader, &'static str> {
+        let mut route = RouteHeader::default();
         for part in text.split(';').map(str::trim).filter(|p| !p.is_empty()) {
             let (name, value) = part.split_once(':').ok_or("X-Route parameter without a value")?;
             let parameter = |max| number(value, max).ok_or("X-Route parameter is not a number in range");
--- a/crates/session/src/arrival.rs
+++ b/crates/session/src/arrival.rs
@@ -63,15 +63,16 @@
     payload: A,
 ) -> Result<Arrival<A>, ArrivalError> {
     let record = &hints.record;
-    let found = settings.mapping.path.match_path(path).ok_or(ArrivalError::Path)?;
+    let matched = settings.mapping.path.match_path(path).ok_or(ArrivalError::Path)?;
     let classes = &settings.classes.0;
-    let class = match found.class {
+    let class = match matched.class {
         Some(name) => classes.iter().position(|c| c.name.as_str() == name).ok_or(ArrivalError::Class)?,
         None => 0, // A pattern without `{class}` serves a single class.
     };
-    let tenant = found.tenant.and_then(|name| settings.tenants.iter().position(|t| t.name.as_str() == name));
+    let tenant =
+        matched.tenant.and_then(|name| settings.tenants.iter().position(|t| t.name.as_str() == name));
     let sid: SessionId = record.sid.as_deref().ok_or(ArrivalError::Sid)?.into();
-    let from_path = found.title.unwrap_or_default();
+    let from_path = matched.title.unwrap_or_default();
     let title = match settings.mapping.title_from {
         TitleFrom::Path => from_path,
         TitleFrom::Cid => record.cid.as_deref().unwrap_or(from_path),
--- a/crates/session/src/core/actions.rs
+++ b/crates/session/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Execution of the policy's actions.
+//! Execution of the policy's actions. Rules are numbered as in the crate's documentation.
 
 use super::Core;
 use crate::policy::Policy;
@@ -14,11 +14,11 @@
 /// outdated information (rules 3 and 4).
 const MAX_SEND_DELAY: Duration = Duration::from_secs(1);
 /// Longest time from a decision to the first byte of a retry. A retry counts against the retry budget when it is
-/// decided; one sent later would fall into another span of the budget (rule 6).
+/// decided; one sent later would fall into another window of the budget (rule 6).
 const MAX_RETRY_SEND_DELAY: Duration = Duration::from_millis(100);
 
 impl<P: Policy, A: Clone, B> Core<P, A, B> {
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn execute_action(&mut self, action: Action) {
         match action {
             Action::Send(request, server, timeout) => self.send(request, server, timeout),
             Action::SetRung(request, rung) => self.set_rung(request, rung),
@@ -70,8 +70,8 @@
         let kbps = self.config.rates_kbps[session.class].get(session.rung).copied().unwrap_or(0);
         let (sid, rung, payload) = (session.sid.clone(), session.rung, session.payload.clone());
         // Only what must be known after a restart is logged, so other set-ups wait for no disk.
-        let has_budget = self.config.persistence.as_ref().is_some_and(|p| p.retry_budget);
-        let (paid, is_budgeted_retry) = (session.paid, number > 0 && has_budget);
+        let has_retry_budget = self.config.persistence.as_ref().is_some_and(|p| p.retry_budget);
+        let (paid, is_budgeted_retry) = (session.paid, number > 0 && has_retry_budget);
         let is_logged = self.config.persistence.is_some() && (paid || is_budgeted_retry);
         let log_record = is_logged.then(|| LogRecord::AttemptStarted {
             sid: sid.to_string(),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Gives the final answer to all viewers that wait for a session which does not come to play.
+    /// Gives the final answer to all viewers that wait for a session that cannot be set up, and removes the session.
     ///
     /// Ignored while an attempt is pending: its outcome is unknown, and its server would hold a session that no viewer uses.
     pub(super) fn reject(&mut self, request: RequestId, answer: impl Fn() -> Answer<B>) {
--- a/crates/session/src/core/check.rs
+++ b/crates/session/src/core/check.rs
@@ -58,8 +58,8 @@
                 }
                 Phase::Playing { .. } => {
                     totals.playing += 1;
-                    let is_watched = self.config.idle_timeout.is_none() || idle_timers.contains(request);
-                    ensure(is_watched, || InvariantViolation::NoIdleTimer { sid: session.sid.clone() })?;
+                    let has_idle_timer = self.config.idle_timeout.is_none() || idle_timers.contains(request);
+                    ensure(has_idle_timer, || InvariantViolation::NoIdleTimer { sid: session.sid.clone() })?;
                     self.check_playing(session)?;
                 }
             }
@@ -146,10 +146,10 @@
         ensure(started_at <= now, || InvariantViolation::StartInFuture { attempt, started_at, now })?;
         let is_pending_at_stopped = cancelled.is_none() && !self.list.is_serving(server);
         ensure(!is_pending_at_stopped, || InvariantViolation::PendingAtStopped { attempt, server })?;
-        // The caller reports the end of a cancelled attempt, so that one needs no timer.
-        let has_end =
+        // The caller reports the end of a cancelled attempt, so a cancelled one needs no timer.
+        let will_end =
             attempt_timers.contains(&attempt) || cancelled.is_some_and(|r| r != CancelReason::Drained);
-        ensure(has_end, || InvariantViolation::NoAttemptTimer { attempt })
+        ensure(will_end, || InvariantViolation::NoAttemptTimer { attempt })
     }
 
     fn check_playing(&self, session: &Session<A>) -> Result<(), InvariantViolation> {
--- a/crates/session/src/core/inputs.rs
+++ b/crates/session/src/core/inputs.rs
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Restores what is proven of earlier incarnations. What is not proven counts as having happened.
+    /// Restores the proven history of earlier incarnations. Anything that cannot be ruled out counts as having
+    /// happened.
     fn restore_history(&mut self, mut recovered: RecoveredState) {
         let (paid, stopped) = (recovered.paid_sessions.iter().len(), recovered.stopped.len());
         tracing::info!(proven = recovered.trust.describe(), paid, stopped, "earlier incarnation found");
--- a/crates/session/src/core/list_updates.rs
+++ b/crates/session/src/core/list_updates.rs
@@ -1,4 +1,5 @@
-//! Updates of the server list, and their effect on pending attempts.
+//! Updates of the server list, and their effect on pending attempts. Rules are numbered as in the crate's
+//! documentation.
 
 use super::Core;
 use crate::list::ListUpdate;
--- a/crates/session/src/core/mod.rs
+++ b/crates/session/src/core/mod.rs
@@ -184,7 +184,7 @@
                 observer(self.now, &events, &actions);
             }
             for action in actions {
-                self.act(action);
+                self.execute_action(action);
             }
         }
         self.knowledge.publish();
--- a/crates/session/src/core/viewers.rs
+++ b/crates/session/src/core/viewers.rs
@@ -1,4 +1,4 @@
-//! Viewers: their requests, their answers, and their disconnects.
+//! Viewers: their requests, their answers, and their disconnects. Rules are numbered as in the crate's documentation.
 
 use super::Core;
 use crate::policy::Policy;
@@ -23,7 +23,7 @@
         }
         let class = self.config.classes[arrival.class];
         // Rule 2: a paid session may have been executed here, in any incarnation, or, where the hints say that it
-        // plays, at a front that is gone.
+        // plays, at another front, which may have ended.
         let plays_elsewhere = (class.paid && arrival.already_playing).then_some(RejectReason::AlreadySetUp);
         if let Some(reason) = self.history.rejects(self.now, &arrival.sid, class.paid).or(plays_elsewhere) {
             return self.answer(arrival.viewer, Answer::Failed { timed_out: false, reason });
@@ -40,7 +40,7 @@
         self.events.push(Event::Request(arrival.to_session_request(request, deadline)));
         self.log_dropped_hints(&arrival);
         self.by_sid.insert(arrival.sid.clone(), request);
-        let waiting = vec![WaitingViewer { viewer: arrival.viewer, is_owner: true, resubmitted: None }];
+        let waiting = vec![WaitingViewer { viewer: arrival.viewer, is_owner: true, resubmission: None }];
         let session = Session { waiting, ..Session::new(arrival, class.paid, deadline) };
         self.sessions.insert(request, session);
     }
@@ -103,8 +103,8 @@
                 if deadline < session.deadline || session.abandoned {
                     self.timers.arm(deadline, Timer::Viewer(session.sid.clone(), viewer));
                 }
-                let resubmitted = session.abandoned.then(|| (self.now, Box::new(arrival)));
-                session.waiting.push(WaitingViewer { viewer, is_owner: false, resubmitted });
+                let resubmission = session.abandoned.then(|| (self.now, Box::new(arrival)));
+                session.waiting.push(WaitingViewer { viewer, is_owner: false, resubmission });
                 return;
             }
         };
@@ -117,7 +117,7 @@
     /// would be dropped with the abandoned session and get no answer (rule 1).
     pub(super) fn resubmit(&mut self, waiting: Vec<WaitingViewer<A>>, paid_executed: bool) {
         for waiting_viewer in waiting {
-            match waiting_viewer.resubmitted {
+            match waiting_viewer.resubmission {
                 Some((since, arrival)) if !paid_executed => {
                     let max_wait = arrival.max_wait.saturating_sub(self.now.saturating_sub(since));
                     self.submit(Arrival { max_wait, ..*arrival });
--- a/crates/session/src/history.rs
+++ b/crates/session/src/history.rs
@@ -1,5 +1,6 @@
 //! State that passes between successive incarnations of one front: paid sessions that may have been executed,
 //! servers logged as draining or failed, and sessions that servers may still hold for the previous incarnation.
+//! Rules are numbered as in the crate's documentation.
 
 use crate::config::PersistenceConfig;
 use crate::invariants::{ensure, InvariantViolation};
--- a/crates/session/src/invariants.rs
+++ b/crates/session/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the core, and the handling of a violation.
+//! Invariants of the core, and the handling of a violation. Rules are numbered as in the crate's documentation.
 
 use crate::types::{AttemptId, SessionId, ViewerId};
 use cloverhollow::{RequestId, ServerId};
--- a/crates/session/src/list/mod.rs
+++ b/crates/session/src/list/mod.rs
@@ -27,7 +27,7 @@
     Serving,
     /// The server finishes its sessions and accepts no new ones.
     Draining,
-    /// The server is gone.
+    /// The server has been removed from the fleet.
     Gone,
 }
 
@@ -96,16 +96,16 @@
 impl ServerList {
     /// Applies an update.
     pub fn apply(&mut self, now: Duration, update: &ListUpdate, config: &CoreConfig) -> AppliedUpdate {
-        let mut out = AppliedUpdate { entries: Vec::new(), stopped: BTreeSet::new() };
+        let mut applied = AppliedUpdate { entries: Vec::new(), stopped: BTreeSet::new() };
         if update.mode == ListMode::Failed {
-            return out;
+            return applied;
         }
         self.version = update.version;
         if update.mode != ListMode::Patch {
             let named: BTreeSet<ServerId> = update.entries.iter().map(|e| e.id).collect();
             for (id, listed) in self.servers.iter_mut().filter(|(id, _)| !named.contains(id)) {
                 if listed.entry.state == WireState::Serving {
-                    out.stopped.insert(*id);
+                    applied.stopped.insert(*id);
                 }
                 listed.entry.state = WireState::Gone;
             }
@@ -125,9 +125,9 @@
             let previous = self.servers.insert(entry.id, ListedServer { entry: entry.clone(), started_at });
             let served = previous.is_some_and(|s| s.entry.state == WireState::Serving);
             if served && entry.state != WireState::Serving {
-                out.stopped.insert(entry.id);
+                applied.stopped.insert(entry.id);
             }
-            out.entries.push(ListEntry {
+            applied.entries.push(ListEntry {
                 server: entry.id,
                 shared_key: entry.key.unwrap_or(entry.id),
                 cell: entry.cell,
@@ -145,7 +145,7 @@
         if left_out > 0 {
             tracing::warn!(left_out, most = MAX_SERVERS, "server list full; new servers ignored");
         }
-        out
+        applied
     }
 
     /// Removes servers that are gone and that `in_use` rejects. Each of them has an id of its own, so without this
--- a/crates/session/src/report_throttle.rs
+++ b/crates/session/src/report_throttle.rs
@@ -1,6 +1,6 @@
 //! Limits how often a server's reported load is passed on to the policy.
 //!
-//! Each response of a server reports its load; the policy needs it only once in a while.
+//! Each response of a server reports its load; the policy needs one report per interval.
 
 use crate::types::Load;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -15,7 +15,7 @@
     next_load_ms: AtomicU64,
     /// Time from which the next report of short delivery passes, ms.
     next_short_ms: AtomicU64,
-    /// True if the last share that passed was short.
+    /// True if the last share that passed was below full delivery.
     short: AtomicBool,
 }
 
--- a/crates/session/src/session_state.rs
+++ b/crates/session/src/session_state.rs
@@ -1,7 +1,8 @@
 //! State that the core holds for one session.
 //!
 //! An attempt is one set-up request to one server. The policy chooses the server and the rung (a step of the bit-rate
-//! ladder) and decides on retries. The caller sends set-up requests to servers and answers to viewers.
+//! ladder) and decides on retries. The caller sends set-up requests to servers and answers to viewers. Times are on
+//! the core's monotonic clock.
 
 use crate::routes::Route;
 use crate::types::{Arrival, AttemptEnd, AttemptId, CancelReason, SessionId, ViewerId};
@@ -14,14 +15,14 @@
 /// A viewer that waits for the set-up of a session.
 #[derive(Debug)]
 pub(crate) struct WaitingViewer<A> {
-    /// The viewer's request, used to address its answer.
+    /// Id of the viewer's request, to which the answer is addressed.
     pub(crate) viewer: ViewerId,
     /// True if the set-up is sent with this viewer's request, so that this viewer receives the server's response.
     /// The other waiting viewers then fetch from the session's server through its route.
     pub(crate) is_owner: bool,
-    /// Request to submit as a new one after the current attempt has ended, and the time at which it arrived. Set if
-    /// the viewer arrived after all earlier ones had disconnected; `None` if it shares the current attempt.
-    pub(crate) resubmitted: Option<(Duration, Box<Arrival<A>>)>,
+    /// The viewer's request and its time of arrival, if it is to be submitted as a new one after the current attempt.
+    /// Set if the viewer arrived after all earlier ones had disconnected; `None` if it shares the current attempt.
+    pub(crate) resubmission: Option<(Duration, Box<Arrival<A>>)>,
 }
 
 /// Progress of a session.
@@ -80,7 +81,7 @@
     pub(crate) phase: Phase,
     /// Viewers that wait for the set-up, in order of arrival. Empty once the session plays.
     pub(crate) waiting: Vec<WaitingViewer<A>>,
-    /// Contradictions already found in the session's hints. Each kind is logged and counted once.
+    /// Contradictions already found in the session's hints. Each kind is logged and counted once for each session.
     pub(crate) contradictions: Contradictions,
     /// Caller's data for building the request to a server.
     pub(crate) payload: A,
