--- a/crates/members/src/auth.rs
+++ b/crates/members/src/auth.rs
@@ -19,7 +19,8 @@
 const HEADER_BYTES: usize = 1 + 4 + 8 + 8;
 /// Bytes that a signature adds to a payload.
 pub(crate) const OVERHEAD_BYTES: usize = HEADER_BYTES + MAC_BYTES;
-/// Sequence numbers up to the highest received one that are still accepted, each once.
+/// Length of the replay window: number of sequence numbers, counted back from the highest received one, that are still
+/// accepted, each once.
 const REPLAY_WINDOW: u64 = 128;
 
 /// Shared secret and its id.
@@ -50,7 +51,7 @@
     /// The MAC does not match.
     #[error("wrong MAC")]
     InvalidMac,
-    /// Received before, or too old for the replay window.
+    /// Received before, too old for the replay window, or in response to another request.
     #[error("repeated")]
     Replayed,
     /// The payload cannot be decoded.
@@ -147,12 +148,12 @@
         }
         let (header, rest) = datagram.split_at(HEADER_BYTES);
         let (tag, payload) = rest.split_at(MAC_BYTES);
-        let number = |offset: usize| u64::from_be_bytes(std::array::from_fn(|i| header[offset + i]));
+        let read_u64 = |offset: usize| u64::from_be_bytes(std::array::from_fn(|i| header[offset + i]));
         let id = u32::from_be_bytes(std::array::from_fn(|i| header[1 + i]));
         let key = self.keys.get(&id).ok_or(ReceiveError::UnknownKey)?;
         mac(key, header, payload).verify_truncated_left(tag).map_err(|_| ReceiveError::InvalidMac)?;
         // Only datagrams with a valid MAC create or change a replay window.
-        let (sender, number) = (number(5), number(13));
+        let (sender, number) = (read_u64(5), read_u64(13));
         self.accepted += 1;
         if !self.windows.contains_key(&sender) && self.windows.len() >= MAX_SENDERS {
             let oldest = self.windows.iter().min_by_key(|(_, w)| w.last_used).map(|(s, _)| *s);
--- a/crates/members/src/lease_count.rs
+++ b/crates/members/src/lease_count.rs
@@ -50,7 +50,7 @@
     round_started: Duration,
     responses: BTreeMap<SocketAddr, RenewResponse>,
     fleet_size: Option<FleetSize>,
-    next_round: Duration,
+    next_round_at: Duration,
 }
 
 impl LeaseCount {
@@ -75,7 +75,7 @@
             round_started: now,
             responses,
             fleet_size: None,
-            next_round: now,
+            next_round_at: now,
         }
     }
 
@@ -86,16 +86,16 @@
 
     /// Time at which the next round is due. `None` without witnesses.
     pub fn next_due(&self) -> Option<Duration> {
-        (!self.witnesses.is_empty()).then_some(self.next_round)
+        (!self.witnesses.is_empty()).then_some(self.next_round_at)
     }
 
     /// Starts a round if one is due, and returns the request and the witnesses to send it to.
     pub fn start_round(&mut self, now: Duration) -> Option<(RenewRequest, Vec<SocketAddr>)> {
-        if self.witnesses.is_empty() || now < self.next_round {
+        if self.witnesses.is_empty() || now < self.next_round_at {
             return None;
         }
         self.round += 1;
-        (self.round_started, self.next_round) = (now, now + self.lease / ROUNDS_PER_LEASE);
+        (self.round_started, self.next_round_at) = (now, now + self.lease / ROUNDS_PER_LEASE);
         self.responses.clear();
         let request = RenewRequest { holder: self.holder, round: self.round, reply_to: self.local_address };
         Some((request, self.witnesses.clone()))
@@ -139,7 +139,7 @@
                 witness: *witness,
             })?;
         }
-        let (next, round_started) = (self.next_round, self.round_started);
+        let (next, round_started) = (self.next_round_at, self.round_started);
         let paced = next <= round_started + self.lease / ROUNDS_PER_LEASE;
         ensure(paced, || InvariantViolation::NextRound { next, round_started })?;
         let Some(FleetSize { count, valid_until: until, .. }) = self.fleet_size else { return Ok(()) };
--- a/crates/members/src/member/mod.rs
+++ b/crates/members/src/member/mod.rs
@@ -185,7 +185,7 @@
         self.swim.local_id()
     }
 
-    /// Younger process with the same name, if there is one: this process must accept nothing new.
+    /// Younger process with the same name, once one was seen: from then on this process must accept nothing new.
     pub fn replaced_by(&self) -> Option<&MemberId> {
         self.swim.replaced_by()
     }
--- a/crates/members/src/swim/config.rs
+++ b/crates/members/src/swim/config.rs
@@ -26,7 +26,8 @@
     pub gossip_fanout: usize,
     /// Number of times that one update is transmitted.
     pub max_transmissions: u8,
-    /// Interval between announcements to members that are down, which heals network partitions.
+    /// Interval between announcements to members that are down and to seeds that are down or unknown. They heal
+    /// network partitions.
     pub rejoin_interval: Duration,
     /// Time after which a member that is down is removed.
     pub forget_after: Duration,
--- a/crates/members/src/swim/mod.rs
+++ b/crates/members/src/swim/mod.rs
@@ -40,7 +40,7 @@
     effects: Effects,
     /// Timers by due time, and by a number that orders those due at the same time.
     timers: BTreeMap<(Duration, u64), Timer<MemberId>>,
-    last_timer: u64,
+    last_timer_number: u64,
     view: MembershipView,
     /// Time of the last datagram from each address.
     last_received: BTreeMap<SocketAddr, Duration>,
@@ -50,6 +50,7 @@
     /// Amount by which the incarnation was last raised; 1 before that.
     increment: u64,
     replaced_by: Option<MemberId>,
+    /// True once the local member has announced that it leaves.
     left: bool,
     checkpoint: Option<Checkpoint>,
 }
@@ -72,7 +73,7 @@
             foca,
             effects: Effects::default(),
             timers: BTreeMap::new(),
-            last_timer: 0,
+            last_timer_number: 0,
             view: MembershipView::default(),
             last_received: BTreeMap::new(),
             next_announcement: now,
@@ -96,7 +97,7 @@
         &self.view
     }
 
-    /// Younger process with the same name, if there is one: this process must accept nothing new.
+    /// Younger process with the same name, once one was seen: from then on this process must accept nothing new.
     pub fn replaced_by(&self) -> Option<&MemberId> {
         self.replaced_by.as_ref()
     }
@@ -211,10 +212,10 @@
 
     /// Merges the records of another member, which were requested over the side address.
     ///
-    /// Suspicions of other members are not taken over: the local member probes them itself. A suspicion of the local
-    /// member is, so that it is refuted. Otherwise a member could stay suspect for ever: the suspicion was gossiped
+    /// Suspicions of other members are not adopted: the local member probes them itself. A suspicion of the local
+    /// member is, so that it is refuted. Otherwise a member could stay suspect forever: the suspicion was gossiped
     /// to all members but the suspect, which answers each probe, and the member that would have declared it down
-    /// has died or taken a new incarnation in the meantime.
+    /// has crashed or taken a new incarnation in the meantime.
     pub fn sync(&mut self, now: Duration, records: Vec<MemberRecord>) {
         self.record_checkpoint(now);
         let room = MAX_MEMBERS.saturating_sub(self.foca.iter_membership_state().len());
--- a/crates/members/src/swim/view_update.rs
+++ b/crates/members/src/swim/view_update.rs
@@ -26,8 +26,8 @@
             self.raise_incarnation(now);
         }
         for (after, timer) in std::mem::take(&mut self.effects.timers) {
-            self.last_timer += 1;
-            self.timers.insert((now + after, self.last_timer), timer);
+            self.last_timer_number += 1;
+            self.timers.insert((now + after, self.last_timer_number), timer);
         }
         if std::mem::take(&mut self.effects.changed) {
             self.update_view(now);
--- a/crates/members/src/witness.rs
+++ b/crates/members/src/witness.rs
@@ -18,6 +18,7 @@
     hold_time: Duration,
     /// Time from which every possible lease holder is known.
     complete_from: Duration,
+    /// Time of the last renewal by holder.
     renewed: BTreeMap<u64, Duration>,
 }
 
--- a/crates/members/tests/auth.rs
+++ b/crates/members/tests/auth.rs
@@ -14,8 +14,8 @@
 #[test]
 fn a_signed_datagram_is_accepted_once() {
     let (mut signer, mut verifier) = pair();
-    let datagram = signer.sign(b"word");
-    assert_eq!(verifier.verify(&datagram), Ok((42, &b"word"[..])));
+    let datagram = signer.sign(b"payload");
+    assert_eq!(verifier.verify(&datagram), Ok((42, &b"payload"[..])));
     assert_eq!(verifier.verify(&datagram), Err(ReceiveError::Replayed));
 }
 
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -14,7 +14,7 @@
 
 const LEASE: Duration = Duration::from_secs(20);
 const TICK: Duration = Duration::from_secs(10);
-const BEGIN: Duration = Duration::from_secs(1_000);
+const START: Duration = Duration::from_secs(1_000);
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -40,13 +40,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Transition {
     Tick,
-    Round(usize),
+    StartRound(usize),
     /// A member's request reaches a witness, and the response the member.
-    Renews(usize, usize),
-    Crashes(usize),
-    Starts(usize),
+    Renew(usize, usize),
+    Crash(usize),
+    Start(usize),
     /// A witness restarts without its state.
-    WitnessRestarts(usize),
+    RestartWitness(usize),
 }
 
 struct LeaseModel {
@@ -76,8 +76,8 @@
     }
 
     fn renew(&mut self, i: usize, w: usize) {
-        let Some((request, asked)) = self.rounds.get_mut(&i) else { return };
-        asked.insert(w);
+        let Some((request, received_by)) = self.rounds.get_mut(&i) else { return };
+        received_by.insert(w);
         let response = self.witnesses[w].handle_request(self.now, *request);
         if let Some(m) = self.members[i].as_mut() {
             m.handle_response(self.now, response);
@@ -100,7 +100,7 @@
     fn init_states(&self) -> Vec<State> {
         let witness = |w: SocketAddr| Witness::new(Duration::ZERO, w, self.hold_time);
         let mut s = State {
-            now: BEGIN,
+            now: START,
             members: vec![None; self.members],
             witnesses: witnesses().into_iter().map(witness).collect(),
             rounds: BTreeMap::new(),
@@ -121,27 +121,27 @@
     fn actions(&self, s: &State, actions: &mut Vec<Transition>) {
         // Time passes only between complete rounds. An incomplete one cannot make the sum larger either: it raises a
         // witness's count and gives no new bound.
-        if s.rounds.is_empty() && s.now < BEGIN + TICK * (3 + self.ticks) {
+        if s.rounds.is_empty() && s.now < START + TICK * (3 + self.ticks) {
             actions.push(Transition::Tick);
         }
-        for (i, (_, asked)) in &s.rounds {
-            actions.extend((0..3).filter(|w| !asked.contains(w)).map(|w| Transition::Renews(*i, w)));
+        for (i, (_, received_by)) in &s.rounds {
+            actions.extend((0..3).filter(|w| !received_by.contains(w)).map(|w| Transition::Renew(*i, w)));
         }
         for (i, m) in s.members.iter().enumerate() {
             match m {
                 Some(m) => {
                     if m.next_due().is_some_and(|t| t <= s.now) {
-                        actions.push(Transition::Round(i));
+                        actions.push(Transition::StartRound(i));
                     }
                     if s.crashes < self.max_crashes {
-                        actions.push(Transition::Crashes(i));
+                        actions.push(Transition::Crash(i));
                     }
                 }
-                None => actions.push(Transition::Starts(i)),
+                None => actions.push(Transition::Start(i)),
             }
         }
         if s.witness_restarts < self.max_witness_restarts {
-            actions.extend((0..3).map(Transition::WitnessRestarts));
+            actions.extend((0..3).map(Transition::RestartWitness));
         }
     }
 
@@ -149,15 +149,15 @@
         let mut s = s.clone();
         match action {
             Transition::Tick => s.now += TICK,
-            Transition::Round(i) => s.start_round(i),
-            Transition::Renews(i, w) => s.renew(i, w),
-            Transition::Crashes(i) => {
+            Transition::StartRound(i) => s.start_round(i),
+            Transition::Renew(i, w) => s.renew(i, w),
+            Transition::Crash(i) => {
                 s.crashes += 1;
                 s.members[i] = None;
                 s.rounds.remove(&i);
             }
-            Transition::Starts(i) => s.start(i),
-            Transition::WitnessRestarts(w) => {
+            Transition::Start(i) => s.start(i),
+            Transition::RestartWitness(w) => {
                 s.witness_restarts += 1;
                 s.witnesses[w] = Witness::new(s.now, witnesses()[w], self.hold_time);
             }
@@ -180,7 +180,7 @@
     }
 }
 
-/// Returns the number of states, and "over" if the shares sum to more than one in any of them.
+/// Returns the number of states, and "above one" if the shares sum to more than one in any of them.
 fn check(model: LeaseModel) -> (usize, Option<&'static str>) {
     let checker = model.checker().threads(2).spawn_bfs().join();
     let violation = checker.discovery(SHARES_SUM_TO_ONE);
@@ -188,7 +188,7 @@
     for name in reached {
         checker.assert_any_discovery(name);
     }
-    (checker.unique_state_count(), violation.map(|_| "over"))
+    (checker.unique_state_count(), violation.map(|_| "above one"))
 }
 
 #[test]
@@ -229,5 +229,5 @@
         max_witness_restarts: 0,
         hold_time: LEASE / 4,
     });
-    assert_eq!(violation, Some("over"));
+    assert_eq!(violation, Some("above one"));
 }
--- a/crates/members/tests/random.rs
+++ b/crates/members/tests/random.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const LEASE: Duration = Duration::from_secs(4);
-const BEAT: Duration = Duration::from_millis(250);
+const TICK: Duration = Duration::from_millis(250);
 const MEMBERS: usize = 5;
 /// Maximum number of delayed messages.
 const MAX_DELAYED: usize = 64;
@@ -29,17 +29,17 @@
 /// Step of a run.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Lets a number of beats pass.
-    Beats(u64),
+    /// Lets a number of ticks pass.
+    Ticks(u64),
     /// Sets the witnesses that a member can send to, and those that it can receive from, as bit masks.
     SetLinks(usize, u8, u8),
-    /// Stalls a member for a number of beats.
-    Stalls(usize, u64),
-    Crashes(usize),
-    Starts(usize),
-    WitnessRestarts(usize),
+    /// Stalls a member for a number of ticks.
+    Stall(usize, u64),
+    Crash(usize),
+    Start(usize),
+    RestartWitness(usize),
     /// Delivers a delayed message, which is duplicated if the flag is set.
-    DeliversDelayed(usize, bool),
+    DeliverDelayed(usize, bool),
 }
 
 impl ReferenceStateMachine for Params {
@@ -56,13 +56,13 @@
     fn transitions(_: &Params) -> BoxedStrategy<Step> {
         let links = || prop_oneof![2 => Just(0b1_1111u8), 1 => 0u8..32];
         prop_oneof![
-            6 => (1u64..40).prop_map(Step::Beats),
+            6 => (1u64..40).prop_map(Step::Ticks),
             4 => (0..MEMBERS, links(), links()).prop_map(|(i, send, receive)| Step::SetLinks(i, send, receive)),
-            2 => (0..MEMBERS, 1u64..40).prop_map(|(i, beats)| Step::Stalls(i, beats)),
-            1 => (0..MEMBERS).prop_map(Step::Crashes),
-            2 => (0..MEMBERS).prop_map(Step::Starts),
-            1 => (0usize..5).prop_map(Step::WitnessRestarts),
-            4 => (0usize..MAX_DELAYED, any::<bool>()).prop_map(|(n, duplicate)| Step::DeliversDelayed(n, duplicate)),
+            2 => (0..MEMBERS, 1u64..40).prop_map(|(i, ticks)| Step::Stall(i, ticks)),
+            1 => (0..MEMBERS).prop_map(Step::Crash),
+            2 => (0..MEMBERS).prop_map(Step::Start),
+            1 => (0usize..5).prop_map(Step::RestartWitness),
+            4 => (0usize..MAX_DELAYED, any::<bool>()).prop_map(|(n, duplicate)| Step::DeliverDelayed(n, duplicate)),
         ]
         .boxed()
     }
@@ -81,14 +81,14 @@
 
 struct Front {
     lease_count: LeaseCount,
-    stalled_until: u64,
+    resume_tick: u64,
     /// Bit masks of the witnesses that the member can send to, and of those that it can receive from.
     links: (u8, u8),
 }
 
 struct Fleet {
     params: Params,
-    beats: u64,
+    ticks: u64,
     starts: u64,
     members: Vec<Option<Front>>,
     witnesses: Vec<Witness>,
@@ -99,7 +99,7 @@
 impl Fleet {
     /// Clock of a process, which runs at its own rate.
     fn clock(&self, process: usize) -> Duration {
-        Duration::from_secs(1_000) + (BEAT * self.beats as u32) * self.params.clock_rates[process] / 1_000
+        Duration::from_secs(1_000) + (TICK * self.ticks as u32) * self.params.clock_rates[process] / 1_000
     }
 
     fn start(&mut self, i: usize) {
@@ -110,7 +110,7 @@
         let witnesses = (0..self.params.witnesses).map(address).collect();
         let lease_count =
             LeaseCount::new(self.clock(i), address(100 + i), self.starts * 7_919, LEASE, witnesses);
-        self.members[i] = Some(Front { lease_count, stalled_until: 0, links: (u8::MAX, u8::MAX) });
+        self.members[i] = Some(Front { lease_count, resume_tick: 0, links: (u8::MAX, u8::MAX) });
     }
 
     fn delay(&mut self, message: Message) {
@@ -134,7 +134,7 @@
 
     fn deliver_response(&mut self, i: usize, response: RenewResponse) {
         let now = self.clock(i);
-        let is_running = |m: &&mut Front| m.stalled_until <= self.beats;
+        let is_running = |m: &&mut Front| m.resume_tick <= self.ticks;
         if let Some(m) = self.members[i].as_mut().filter(is_running) {
             m.lease_count.handle_response(now, response);
             assert_eq!(m.lease_count.check(), Ok(()), "member {i}");
@@ -143,12 +143,12 @@
         }
     }
 
-    fn beat(&mut self) {
-        self.beats += 1;
+    fn tick(&mut self) {
+        self.ticks += 1;
         for i in 0..MEMBERS {
             let now = self.clock(i);
-            let beats = self.beats;
-            let Some(m) = self.members[i].as_mut().filter(|m| m.stalled_until <= beats) else { continue };
+            let ticks = self.ticks;
+            let Some(m) = self.members[i].as_mut().filter(|m| m.resume_tick <= ticks) else { continue };
             let (round, send_mask) = (m.lease_count.start_round(now), m.links.0);
             assert_eq!(m.lease_count.check(), Ok(()), "member {i}");
             for (w, request) in round.iter().flat_map(|(r, all)| (0..all.len()).map(|w| (w, *r))) {
@@ -169,26 +169,26 @@
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Beats(beats) => (0..beats).for_each(|_| self.beat()),
+            Step::Ticks(ticks) => (0..ticks).for_each(|_| self.tick()),
             Step::SetLinks(i, send, receive) => {
                 if let Some(m) = self.members[i].as_mut() {
                     m.links = (send, receive);
                 }
             }
-            Step::Stalls(i, beats) => {
-                let until = self.beats + beats;
+            Step::Stall(i, ticks) => {
+                let resume_tick = self.ticks + ticks;
                 if let Some(m) = self.members[i].as_mut() {
-                    m.stalled_until = until;
+                    m.resume_tick = resume_tick;
                 }
             }
-            Step::Crashes(i) => self.members[i] = None,
-            Step::Starts(i) => self.start(i),
-            Step::WitnessRestarts(w) if w < self.params.witnesses => {
+            Step::Crash(i) => self.members[i] = None,
+            Step::Start(i) => self.start(i),
+            Step::RestartWitness(w) if w < self.params.witnesses => {
                 let now = self.clock(MEMBERS + w);
                 self.witnesses[w] = Witness::new(now, address(w), LeaseCount::hold_time(LEASE));
             }
-            Step::WitnessRestarts(_) => {}
-            Step::DeliversDelayed(n, duplicate) => {
+            Step::RestartWitness(_) => {}
+            Step::DeliverDelayed(n, duplicate) => {
                 if self.delayed.is_empty() {
                     return;
                 }
@@ -218,7 +218,7 @@
         let hold_time = LeaseCount::hold_time(LEASE);
         let mut fleet = Fleet {
             params: params.clone(),
-            beats: 0,
+            ticks: 0,
             starts: 0,
             members: (0..MEMBERS).map(|_| None).collect(),
             witnesses: (0..params.witnesses)
--- a/crates/members/tests/suspicion.rs
+++ b/crates/members/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! Regression test, found by randomized fleets: a member that all others suspected for ever.
+//! Regression test, found by randomized fleets: a member that all others suspected forever.
 
 use cloverhollow_members::*;
 use std::net::SocketAddr;
--- a/crates/members/tests/swim.rs
+++ b/crates/members/tests/swim.rs
@@ -133,7 +133,7 @@
     let before: Vec<_> = sim.running().map(|(_, m)| (m.view().version, m.stats().rejected.clone())).collect();
     for n in 0..2_000u64 {
         sim.inject(1, n.to_be_bytes().repeat(9));
-        sim.inject(1, outsider.sign(b"word"));
+        sim.inject(1, outsider.sign(b"payload"));
         sim.inject(1, insider.sign(&n.to_be_bytes()));
         sim.inject(1, signed[n as usize % signed.len()].clone());
         if n % 100 == 0 {
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -4,15 +4,15 @@
 //! A file is a header and any number of steps, each in one frame: length and CRC-32 as little-endian `u32`, then a
 //! body encoded by `postcard`. A file that was truncated, as by a kill, is read up to its last complete frame.
 
-mod forms;
+mod serde_defs;
 mod write;
 
 pub use write::{Recorder, MAX_FILE_BYTES, MAX_QUEUED_STEPS};
 
 use cloverhollow::{Action, Event, SessionPolicy};
 use cloverhollow_settings::{FrontSettings, SettingsError};
-use forms::{Actions, Events};
 use serde::{Deserialize, Serialize};
+use serde_defs::{Actions, Events};
 use std::io::Read;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/record/src/forms.rs
+++ b/crates/record/src/serde_defs.rs
@@ -9,7 +9,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "ServerState")]
-enum ListedForm {
+enum ServerStateDef {
     Serving,
     Draining,
     #[serde(rename = "Gone")]
@@ -18,7 +18,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "ListMode")]
-enum ListModeForm {
+enum ListModeDef {
     Patch,
     #[serde(rename = "Whole")]
     Full,
@@ -29,7 +29,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "AttemptOutcome")]
-enum OutcomeForm {
+enum AttemptOutcomeDef {
     Ok,
     Error,
     Full,
@@ -43,7 +43,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "LoadReport")]
-struct ReportForm {
+struct LoadReportDef {
     #[serde(rename = "link")]
     link_load: Option<f64>,
     #[serde(rename = "rack")]
@@ -52,7 +52,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "SessionReport")]
-enum NoteForm {
+enum SessionReportDef {
     #[serde(rename = "Share")]
     DeliveredShare(f64),
     Rung(usize),
@@ -64,7 +64,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "SessionRequest")]
-struct CallForm {
+struct SessionRequestDef {
     #[serde(rename = "request")]
     id: RequestId,
     title: TitleId,
@@ -82,12 +82,12 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "ListEntry")]
-struct EntryForm {
+struct ListEntryDef {
     server: ServerId,
     cell: u64,
     kind: usize,
     weight: f64,
-    #[serde(with = "ListedForm")]
+    #[serde(with = "ServerStateDef")]
     state: ServerState,
     #[serde(rename = "started")]
     started_at: Duration,
@@ -99,16 +99,16 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "PeerReport")]
-struct HeardForm {
+struct PeerReportDef {
     server: ServerId,
-    #[serde(with = "ListedForm")]
+    #[serde(with = "ServerStateDef")]
     state: ServerState,
     #[serde(rename = "started")]
     started_at: Duration,
     failed: bool,
     #[serde(rename = "lost")]
     may_have_restarted: bool,
-    #[serde(with = "ReportForm")]
+    #[serde(with = "LoadReportDef")]
     #[serde(rename = "report")]
     load: LoadReport,
     #[serde(rename = "age")]
@@ -117,7 +117,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "RecoveredHistory")]
-struct BeforeForm {
+struct RecoveredHistoryDef {
     #[serde(rename = "further")]
     retry_ages: Vec<Duration>,
     #[serde(rename = "known")]
@@ -130,31 +130,31 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Event")]
-enum EventForm {
+enum EventDef {
     #[serde(rename = "List")]
-    ListUpdate(#[serde(with = "ListModeForm")] ListMode, #[serde(with = "Entries")] Vec<ListEntry>),
+    ListUpdate(#[serde(with = "ListModeDef")] ListMode, #[serde(with = "Entries")] Vec<ListEntry>),
     #[serde(rename = "Call")]
-    Request(#[serde(with = "CallForm")] SessionRequest),
-    Adopted(#[serde(with = "CallForm")] SessionRequest, ServerId),
+    Request(#[serde(with = "SessionRequestDef")] SessionRequest),
+    Adopted(#[serde(with = "SessionRequestDef")] SessionRequest, ServerId),
     Playing(RequestId, u32, ServerId, Duration),
     #[serde(rename = "Note")]
-    SessionReport(RequestId, ServerId, #[serde(with = "NoteForm")] SessionReport),
+    SessionReport(RequestId, ServerId, #[serde(with = "SessionReportDef")] SessionReport),
     #[serde(rename = "Ended")]
     AttemptEnded(
         RequestId,
         u32,
         ServerId,
-        #[serde(with = "OutcomeForm")] AttemptOutcome,
+        #[serde(with = "AttemptOutcomeDef")] AttemptOutcome,
         bool,
-        #[serde(with = "ReportForm")] LoadReport,
+        #[serde(with = "LoadReportDef")] LoadReport,
     ),
     #[serde(rename = "Gone")]
     ViewerLeft(RequestId),
     Timer(u64),
     #[serde(rename = "Heard")]
-    PeerReport(#[serde(with = "HeardForm")] PeerReport),
+    PeerReport(#[serde(with = "PeerReportDef")] PeerReport),
     #[serde(rename = "Before")]
-    RecoveredHistory(#[serde(with = "BeforeForm")] RecoveredHistory),
+    RecoveredHistory(#[serde(with = "RecoveredHistoryDef")] RecoveredHistory),
     #[serde(rename = "Clock")]
     ClockOffset(Duration),
     #[serde(rename = "Counted")]
@@ -166,7 +166,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Action")]
-enum ActionForm {
+enum ActionDef {
     Send(RequestId, ServerId, Duration),
     #[serde(rename = "Rung")]
     SetRung(RequestId, usize),
@@ -179,42 +179,42 @@
 }
 
 macro_rules! lists {
-    ($($one:ident $of:ty, $form:ident, $form_text:literal, $refs:ident, $owned:ident;)*) => {$(
+    ($($element:ident $item_type:ty, $def:ident, $def_name:literal, $slice:ident, $list:ident;)*) => {$(
         #[derive(Serialize, Deserialize)]
-        struct $one(#[serde(with = $form_text)] $of);
+        struct $element(#[serde(with = $def_name)] $item_type);
 
         /// Slice to be serialized.
-        pub(crate) struct $refs<'a>(pub(crate) &'a [$of]);
+        pub(crate) struct $slice<'a>(pub(crate) &'a [$item_type]);
 
-        impl Serialize for $refs<'_> {
+        impl Serialize for $slice<'_> {
             fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-                struct Ref<'b>(&'b $of);
+                struct Ref<'b>(&'b $item_type);
                 impl Serialize for Ref<'_> {
                     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-                        $form::serialize(self.0, s)
+                        $def::serialize(self.0, s)
                     }
                 }
                 s.collect_seq(self.0.iter().map(Ref))
             }
         }
 
-        /// Serialization of a list, for `#[serde(with)]`.
-        pub(crate) struct $owned;
+        /// Serialization and deserialization of a list, for `#[serde(with)]`.
+        pub(crate) struct $list;
 
-        impl $owned {
-            pub(crate) fn serialize<S: Serializer>(all: &[$of], s: S) -> Result<S::Ok, S::Error> {
-                $refs(all).serialize(s)
+        impl $list {
+            pub(crate) fn serialize<S: Serializer>(elements: &[$item_type], s: S) -> Result<S::Ok, S::Error> {
+                $slice(elements).serialize(s)
             }
 
-            pub(crate) fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<$of>, D::Error> {
-                Ok(Vec::<$one>::deserialize(d)?.into_iter().map(|one| one.0).collect())
+            pub(crate) fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<$item_type>, D::Error> {
+                Ok(Vec::<$element>::deserialize(d)?.into_iter().map(|element| element.0).collect())
             }
         }
     )*};
 }
 
 lists! {
-    OneEvent Event, EventForm, "EventForm", EventsRef, Events;
-    OneAction Action, ActionForm, "ActionForm", ActionsRef, Actions;
-    OneEntry ListEntry, EntryForm, "EntryForm", EntriesRef, Entries;
+    EventElement Event, EventDef, "EventDef", EventsRef, Events;
+    ActionElement Action, ActionDef, "ActionDef", ActionsRef, Actions;
+    EntryElement ListEntry, ListEntryDef, "ListEntryDef", EntriesRef, Entries;
 }
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -1,6 +1,6 @@
 //! Recorder, which writes in a thread of its own while the front runs.
 
-use crate::forms::{ActionsRef, EventsRef};
+use crate::serde_defs::{ActionsRef, EventsRef};
 use crate::Header;
 use cloverhollow::{Action, Event};
 use serde::Serialize;
@@ -22,8 +22,9 @@
     actions: ActionsRef<'a>,
 }
 
-/// Recording in progress.
+/// Recording in progress, written to one file by a thread of its own.
 pub struct Recorder {
+    /// Encoded steps for the writer thread. `None` once the recording has ended.
     queue: Option<SyncSender<Vec<u8>>>,
     writer: Option<std::thread::JoinHandle<()>>,
     /// Path of the file.
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Queues a step. Returns false if the recording has ended, as it does for good when the queue is full.
+    /// Queues a step. Returns false if the recording has ended, as it does for good when the queue is full or the
+    /// writer has stopped.
     pub fn record_step(&mut self, now: Duration, events: &[Event], actions: &[Action]) -> bool {
         let Some(queue) = &self.queue else { return false };
         let step = StepRef { now, events: EventsRef(events), actions: ActionsRef(actions) };
@@ -66,6 +68,7 @@
     }
 }
 
+/// Writes the header and the queued steps, until the queue is closed, the file is full or a write fails.
 fn write(file: std::fs::File, header: Vec<u8>, queue: &Receiver<Vec<u8>>) {
     let mut out = BufWriter::new(file);
     let mut written = 0;
--- a/crates/record/tests/record.rs
+++ b/crates/record/tests/record.rs
@@ -69,13 +69,13 @@
 
 #[test]
 fn a_changed_action_is_reported_at_its_step() {
-    let report = replay(&recorded("lie", true)).unwrap();
+    let report = replay(&recorded("falsified", true)).unwrap();
     assert_eq!(report.difference.unwrap().step, 78);
 }
 
 #[test]
 fn a_truncated_file_is_read_to_its_last_complete_step_and_a_corrupt_one_is_an_error() {
-    let path = recorded("cut", false);
+    let path = recorded("truncated", false);
     let bytes = std::fs::read(&path).unwrap();
     std::fs::write(&path, &bytes[..bytes.len() - 3]).unwrap();
     let report = replay(&path).unwrap();
--- a/crates/recovery/src/backoff.rs
+++ b/crates/recovery/src/backoff.rs
@@ -4,7 +4,7 @@
 use crate::log_record::{BootId, Timestamp};
 use std::time::Duration;
 
-/// Parameters of the delay.
+/// Parameters of the start delay after crashes.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartBackoff {
     /// Time span over which crashes are counted.
@@ -17,7 +17,7 @@
     pub max_delay: Duration,
 }
 
-/// Delay of a start, and the crashes that cause it.
+/// Start delay of an incarnation, and the number of crashes that cause it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartDelay {
     /// Number of incarnations of this boot within the window that did not shut down cleanly.
@@ -38,9 +38,9 @@
         let crashes = ledger.incarnations().filter(crashed).count();
         let delay = match crashes.checked_sub(self.free_crashes + 1) {
             None => Duration::ZERO,
-            Some(more) => self
+            Some(excess) => self
                 .initial_delay
-                .saturating_mul(2u32.saturating_pow(more.min(31) as u32))
+                .saturating_mul(2u32.saturating_pow(excess.min(31) as u32))
                 .min(self.max_delay),
         };
         StartDelay { crashes, delay }
--- a/crates/recovery/src/frame.rs
+++ b/crates/recovery/src/frame.rs
@@ -22,7 +22,7 @@
     /// The log does not start with [`MAGIC`].
     #[error("it does not begin as a file of deeds")]
     InvalidMagic,
-    /// A frame other than the last has an invalid length, checksum or body.
+    /// A frame is longer than [`MAX_BODY_BYTES`], or one that is not the last has an invalid checksum or body.
     #[error("the frame at byte {offset} does not check")]
     Corrupt {
         /// Byte offset of the frame.
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -12,11 +12,11 @@
     pub paid_sessions: usize,
     /// Maximum number of retries. Dropping one moves [`Ledger::retries_complete_since`] forward.
     pub retries: usize,
-    /// Maximum number of servers that accept no new sessions, and of servers that failed.
+    /// Maximum number of servers that accept no new sessions; also that of servers that failed.
     pub servers: usize,
-    /// Maximum number of sessions that servers may still hold.
+    /// Maximum number of paid sessions that servers may hold for the last incarnation.
     pub unreleased: usize,
-    /// Maximum number of incarnations.
+    /// Maximum number of incarnations, the current one included.
     pub incarnations: usize,
 }
 
@@ -38,14 +38,14 @@
     /// Time of the start.
     #[serde(rename = "at")]
     pub started_at: Timestamp,
-    /// Boot of the machine.
+    /// Boot of the machine in which the incarnation ran.
     pub boot: BootId,
     /// True if the incarnation shut down cleanly.
     #[serde(rename = "ended")]
     pub clean_shutdown: bool,
 }
 
-/// Session that a server may hold for an incarnation that has crashed.
+/// Paid session that a server may hold for an incarnation that has crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreleasedSession {
     /// Session id.
@@ -54,7 +54,7 @@
     pub server: u64,
 }
 
-/// State of the log, changed only by applying records and by [`Ledger::forget_retries`].
+/// State that the log records add up to, changed only by applying records and by [`Ledger::forget_retries`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// Paid sessions that may have been executed, oldest first.
@@ -83,20 +83,20 @@
     }
 
     /// Applies one record.
-    pub fn apply(&mut self, at: Timestamp, record: &LogRecord, limits: &LedgerLimits) {
-        self.last_record_at = self.last_record_at.max(Some(at));
+    pub fn apply(&mut self, timestamp: Timestamp, record: &LogRecord, limits: &LedgerLimits) {
+        self.last_record_at = self.last_record_at.max(Some(timestamp));
         match record {
             LogRecord::IncarnationStarted { boot } => {
                 if self.incarnations.back().is_some_and(|i| i.boot != *boot) {
                     // Times of another boot cannot be compared with those of this one.
                     self.retries.clear();
-                    self.retries_complete_since = Some(at);
-                    self.last_record_at = Some(at);
+                    self.retries_complete_since = Some(timestamp);
+                    self.last_record_at = Some(timestamp);
                 }
                 self.unreleased.clear();
                 push_bounded(
                     &mut self.incarnations,
-                    IncarnationRecord { started_at: at, boot: *boot, clean_shutdown: false },
+                    IncarnationRecord { started_at: timestamp, boot: *boot, clean_shutdown: false },
                     limits.incarnations,
                 );
             }
@@ -110,7 +110,7 @@
                     );
                 }
                 if *is_retry {
-                    if let Some(dropped) = push_bounded(&mut self.retries, at, limits.retries) {
+                    if let Some(dropped) = push_bounded(&mut self.retries, timestamp, limits.retries) {
                         self.retries_complete_since = self.retries_complete_since.max(Some(dropped));
                     }
                 }
--- a/crates/recovery/src/paid.rs
+++ b/crates/recovery/src/paid.rs
@@ -9,12 +9,12 @@
 #[serde(from = "VecDeque<SessionDigest>", into = "VecDeque<SessionDigest>")]
 pub struct PaidSessions {
     order: VecDeque<SessionDigest>,
-    members: HashSet<SessionDigest>,
+    digests: HashSet<SessionDigest>,
 }
 
 impl From<VecDeque<SessionDigest>> for PaidSessions {
     fn from(order: VecDeque<SessionDigest>) -> Self {
-        PaidSessions { members: order.iter().copied().collect(), order }
+        PaidSessions { digests: order.iter().copied().collect(), order }
     }
 }
 
@@ -26,31 +26,31 @@
 
 impl PaidSessions {
     /// Inserts a session, and drops the oldest if there are more than `max`.
-    pub fn insert(&mut self, sid: SessionDigest, max: usize) {
-        if !self.members.insert(sid) {
+    pub fn insert(&mut self, digest: SessionDigest, max: usize) {
+        if !self.digests.insert(digest) {
             return;
         }
-        self.order.push_back(sid);
+        self.order.push_back(digest);
         if self.order.len() > max {
             if let Some(oldest) = self.order.pop_front() {
-                self.members.remove(&oldest);
+                self.digests.remove(&oldest);
             }
         }
     }
 
     /// Removes a session.
-    pub fn remove(&mut self, sid: SessionDigest) {
-        if self.members.remove(&sid) {
-            // Searched from the newest: a session is proven not executed while its viewer still waits.
-            if let Some(i) = self.order.iter().rposition(|d| *d == sid) {
+    pub fn remove(&mut self, digest: SessionDigest) {
+        if self.digests.remove(&digest) {
+            // Searched from the newest, since a session is proven not executed while its viewer still waits.
+            if let Some(i) = self.order.iter().rposition(|d| *d == digest) {
                 self.order.remove(i);
             }
         }
     }
 
     /// Returns whether a session is in the set.
-    pub fn contains(&self, sid: SessionDigest) -> bool {
-        self.members.contains(&sid)
+    pub fn contains(&self, digest: SessionDigest) -> bool {
+        self.digests.contains(&digest)
     }
 
     /// Iterates over the sessions, oldest first.
--- a/crates/recovery/src/recover.rs
+++ b/crates/recovery/src/recover.rs
@@ -35,10 +35,10 @@
     /// The log records no incarnation.
     #[error("it tells of no life")]
     Empty,
-    /// The file changed at another time than its last record was written, so an older copy was restored.
+    /// The file changed at another time than its last record was written, as when an older copy was restored.
     #[error("it changed {difference_ms} ms off its last deed: it is not the file that was written last")]
     ChangeTimeMismatch {
-        /// Difference between the two times.
+        /// Difference between the two times, in milliseconds.
         difference_ms: u64,
     },
     /// The last record is later than the machine's boot clock.
@@ -51,9 +51,9 @@
 pub enum Trust {
     /// There are no earlier incarnations.
     FirstStart,
-    /// All their records are known.
+    /// All records of earlier incarnations are known.
     Complete,
-    /// The machine has rebooted since, so records that were not yet on the disk are lost.
+    /// The machine has rebooted since the last record, so records that were not yet on the disk are lost.
     Rebooted,
     /// The log is not trusted.
     Unproven(DistrustReason),
@@ -86,11 +86,11 @@
     pub trust: Trust,
     /// Paid sessions that may have been executed, oldest first.
     pub paid_sessions: PaidSessions,
-    /// Ages of retries that count against the retry budget.
+    /// Ages of the retries in this boot, oldest first. Empty unless `trust` is [`Trust::Complete`].
     pub retry_ages: Vec<Duration>,
     /// Time span up to now for which `retry_ages` has all retries.
     pub retries_complete_for: Duration,
-    /// Servers that accept no new sessions.
+    /// Servers that accept no new sessions according to the server list.
     pub stopped: BTreeSet<u64>,
     /// Servers that failed and have not succeeded since.
     pub failed: BTreeSet<u64>,
@@ -146,7 +146,7 @@
     (ledger, recovered)
 }
 
-/// Reads the ledger from a log that passes all checks.
+/// Decodes the log, and returns its ledger if the log passes all checks.
 fn read_trusted(
     found: FoundLog<'_>,
     boot: BootId,
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -23,8 +23,8 @@
     bytes
 }
 
-fn found(bytes: &[u8], changed: u64) -> FoundLog<'_> {
-    FoundLog { bytes: Some(bytes), changed_unix_ms: at(changed).wall_ms, ran_before: true }
+fn found(bytes: &[u8], changed_ms: u64) -> FoundLog<'_> {
+    FoundLog { bytes: Some(bytes), changed_unix_ms: at(changed_ms).wall_ms, ran_before: true }
 }
 
 /// Records of an incarnation that was killed.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,5 @@
-//! State that a front persists between runs: its last server list and its knowledge, in one file of an embedded
-//! database (`redb`).
+//! State that a front persists between runs: its last server list and its knowledge about servers, in one file of an
+//! embedded database (`redb`).
 //!
 //! Both are written in one transaction and are on the disk before [`Store::save`] returns (`Durability::Immediate`): a
 //! crash leaves the last pair that was written or the one before. Each value has a CRC-32. A file that cannot be opened
@@ -17,9 +17,9 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-const LAST: TableDefinition<&str, &[u8]> = TableDefinition::new("last");
-const LIST: &str = "list";
-const KNOWLEDGE: &str = "knowledge";
+const STATE_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("last");
+const LIST_KEY: &str = "list";
+const KNOWLEDGE_KEY: &str = "knowledge";
 /// Maximum length of a value in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024 * 1024;
 
@@ -43,11 +43,11 @@
 pub struct PersistedState {
     /// Encoded server list.
     pub list: Vec<u8>,
-    /// Encoded knowledge.
+    /// Encoded knowledge about servers.
     pub knowledge: Vec<u8>,
 }
 
-/// Open store.
+/// Open database file with the persisted state.
 #[derive(Debug)]
 pub struct Store {
     db: Database,
@@ -85,7 +85,7 @@
     fn open_intact(path: &Path) -> Result<(Store, Option<PersistedState>), StoreError> {
         let opened = catch_unwind(AssertUnwindSafe(|| {
             let mut db = Database::create(path).map_err(database_error)?;
-            // Pages without values may be corrupt too, which the next write would detect.
+            // Pages without values may be corrupt too, which otherwise only the next write would detect.
             if !db.check_integrity().map_err(database_error)? {
                 return Err(StoreError::Database("database file failed its integrity check".into()));
             }
@@ -101,7 +101,7 @@
 
     fn load(&self) -> Result<Option<PersistedState>, StoreError> {
         let transaction = self.db.begin_read().map_err(database_error)?;
-        let table = match transaction.open_table(LAST) {
+        let table = match transaction.open_table(STATE_TABLE) {
             Ok(table) => table,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             Err(e) => return Err(database_error(e)),
@@ -113,7 +113,9 @@
             });
             body.map(Some).ok_or_else(|| StoreError::Database(format!("{key}: checksum mismatch")))
         };
-        let (Some(list), Some(knowledge)) = (value_of(LIST)?, value_of(KNOWLEDGE)?) else { return Ok(None) };
+        let (Some(list), Some(knowledge)) = (value_of(LIST_KEY)?, value_of(KNOWLEDGE_KEY)?) else {
+            return Ok(None);
+        };
         Ok(Some(PersistedState { list, knowledge }))
     }
 
@@ -133,8 +135,8 @@
         let mut transaction = self.db.begin_write().map_err(database_error)?;
         transaction.set_durability(Durability::Immediate).map_err(database_error)?;
         {
-            let mut table = transaction.open_table(LAST).map_err(database_error)?;
-            for (key, body) in [(LIST, &state.list), (KNOWLEDGE, &state.knowledge)] {
+            let mut table = transaction.open_table(STATE_TABLE).map_err(database_error)?;
+            for (key, body) in [(LIST_KEY, &state.list), (KNOWLEDGE_KEY, &state.knowledge)] {
                 let mut value = crc32fast::hash(body).to_le_bytes().to_vec();
                 value.extend_from_slice(body);
                 table.insert(key, value.as_slice()).map_err(database_error)?;
--- a/crates/store/src/log_file.rs
+++ b/crates/store/src/log_file.rs
@@ -66,7 +66,7 @@
 pub struct LogFile {
     path: PathBuf,
     file: File,
-    /// Length of the contents up to the last completed write.
+    /// Length of the contents up to the last completed write, in bytes.
     valid_len: u64,
     /// True if a partial write could not be truncated yet.
     has_partial_write: bool,
@@ -86,29 +86,29 @@
     /// # Errors
     /// Another process has locked it, or an operation of the file system failed.
     pub fn open(path: &Path) -> Result<OpenedLog, LogFileError> {
-        let io = |file: &Path| {
+        let io_error = |file: &Path| {
             let file = file.display().to_string();
             move |source| LogFileError::Io { file, source }
         };
         let lock_path = sibling_path(path, ".lock");
         let lock = OpenOptions::new().create(true).write(true).truncate(false).open(&lock_path);
-        let lock = lock.map_err(io(&lock_path))?;
+        let lock = lock.map_err(io_error(&lock_path))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
                 return Err(LogFileError::Locked { file: lock_path.display().to_string() })
             }
-            Err(TryLockError::Error(e)) => return Err(io(&lock_path)(e)),
+            Err(TryLockError::Error(e)) => return Err(io_error(&lock_path)(e)),
         }
         let existed = path.exists();
         let mut file =
-            OpenOptions::new().create(true).read(true).append(true).open(path).map_err(io(path))?;
-        let metadata = file.metadata().map_err(io(path))?;
+            OpenOptions::new().create(true).read(true).append(true).open(path).map_err(io_error(path))?;
+        let metadata = file.metadata().map_err(io_error(path))?;
         let changed_unix_ms =
             (metadata.ctime().max(0) as u64) * 1_000 + (metadata.ctime_nsec().max(0) as u64) / 1_000_000;
         let mut bytes = Vec::new();
         if existed {
-            (&mut file).take(MAX_LOG_BYTES).read_to_end(&mut bytes).map_err(io(path))?;
+            (&mut file).take(MAX_LOG_BYTES).read_to_end(&mut bytes).map_err(io_error(path))?;
         }
         let valid_len = metadata.len();
         let log = LogFile { path: path.into(), file, valid_len, has_partial_write: false, _lock: lock };
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -3,7 +3,7 @@
 use cloverhollow_store::{PersistedState, Store};
 use std::path::PathBuf;
 
-fn file(name: &str) -> PathBuf {
+fn store_path(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("cloverhollow-store-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_last_saved_state_is_loaded_when_the_store_is_opened_again() {
-    let path = file("stop");
+    let path = store_path("stop");
     let opened = Store::open(&path).unwrap();
     assert!(opened.state.is_none() && opened.quarantined.is_none());
     for n in 0..20 {
@@ -28,7 +28,7 @@
 
 #[test]
 fn the_last_saved_state_survives_a_process_that_does_not_close_the_store() {
-    let path = file("crash");
+    let path = store_path("crash");
     let opened = Store::open(&path).unwrap();
     opened.store.save(&state(7)).unwrap();
     // A copy of the open file is what a kill leaves on the disk.
@@ -39,7 +39,7 @@
 
 #[test]
 fn truncated_and_corrupt_files_give_a_saved_state_or_are_quarantined() {
-    let path = file("torn");
+    let path = store_path("torn");
     let opened = Store::open(&path).unwrap();
     opened.store.save(&state(1)).unwrap();
     opened.store.save(&state(2)).unwrap();
