--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -70,8 +70,8 @@
             return ended(AttemptEnd::NotConnected)
         }
     };
-    // Guards against a front that is killed between the decision and the first byte: its next incarnation
-    // finds the record (rules 2 and 6).
+    // Guards against a front that is killed after the decision to send: its next incarnation finds the
+    // record, counts a paid session as possibly executed, and a retry against the retry budget.
     if !receipt.wait_confirmed().await {
         return ended(AttemptEnd::NotPersisted);
     }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -10,8 +10,7 @@
 
 /// Returns the identity of the machine's current boot.
 ///
-/// Where the kernel does not provide one, returns a random value, which no other start takes for its own
-/// boot.
+/// Returns a random value if the kernel provides no identity; no other incarnation then has the same one.
 pub(crate) fn current_boot() -> BootId {
     let boot_id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
     let digits: String = boot_id.chars().filter(char::is_ascii_hexdigit).collect();
--- a/crates/front/src/connection_pool.rs
+++ b/crates/front/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connection pools: connections to servers are kept for reuse, with a limit for each server.
+//! Connection pools: connections to servers are retained for reuse, with a limit for each server.
 
 use cloverhollow::ServerId;
 use cloverhollow_net::{connect, ClientConn};
@@ -66,9 +66,9 @@
         }
         // The server's address has changed. Connections to the old address close once they are no longer in
         // use.
-        let moved = new_pool();
-        map.insert(server, moved.clone());
-        moved
+        let replacement = new_pool();
+        map.insert(server, replacement.clone());
+        replacement
     }
 
     /// Returns a connection within `servers.connect_ms` in total. `require_new`: never reuse a connection.
@@ -102,7 +102,7 @@
 }
 
 impl Pool {
-    /// Takes the most recently used connection that is not idle for too long, and closes older ones.
+    /// Takes the most recently used idle connection, and closes those that have been idle for `idle_timeout`.
     fn take_idle(&self, idle_timeout: Duration) -> Option<ClientConn> {
         let mut idle_connections = self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner);
         let expired =
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -139,8 +139,8 @@
         inputs
     }
 
-    /// Runs one instant: steps the core until the shell has no immediate results (of cancellations) left to
-    /// pass on.
+    /// Steps the core, and repeats with the inputs that result from its commands at once (such as ends of
+    /// cancelled attempts) until there are none.
     fn step(&mut self, mut inputs: Inputs) {
         loop {
             // Read before each step, because a process that was suspended no longer holds a valid count.
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -63,6 +63,7 @@
     pub(crate) pools: ConnectionPools,
     pub(crate) log: WriteAheadLog,
     pub(crate) event_tx: mpsc::Sender<LoopEvent>,
+    /// Value of the `via` header in all messages that this front forwards.
     pub(crate) via: String,
     next_viewer: AtomicU64,
 }
@@ -194,8 +195,8 @@
                 side_endpoint::run(side_listener, shared.clone(), status.clone()),
             ));
         }
-        // Until then connections wait in the listener's queue. Guards against the first moments after a
-        // restart, in which the persisted list may name servers that have drained since.
+        // Until the warm start has ended, connections wait in the listener's queue. Guards against set-ups at
+        // servers that the persisted list still names but that have drained since.
         let max_wait = settings.peers.max_hold_ms.get();
         let log = shared.log.clone();
         tasks.spawn(run_until(stop.clone(), async move {
--- a/crates/front/src/log_recovery.rs
+++ b/crates/front/src/log_recovery.rs
@@ -71,12 +71,12 @@
     let Some(found) = found else { return without_log(settings) };
     let (log_file, bytes, changed_ms) = (found.log, found.bytes, found.changed_unix_ms);
     let (boot, now) = (current_boot(), current_stamp());
-    let bounds = LedgerLimits {
+    let ledger_limits = LedgerLimits {
         paid_sessions: settings.sessions.max_spent_sessions.as_usize(),
         ..LedgerLimits::default()
     };
     let log_contents = FoundLog { bytes: bytes.as_deref(), changed_unix_ms: changed_ms, ran_before };
-    let (ledger, recovered) = recover(log_contents, boot, now, &bounds);
+    let (ledger, recovered) = recover(log_contents, boot, now, &ledger_limits);
     if let Trust::Unproven(why) = recovered.trust {
         let aside = log_file.copy_to_quarantine().map(|p| p.display().to_string()).unwrap_or_default();
         tracing::warn!(%why, aside, "previous incarnations are not proven: whatever they may have spent counts as spent");
@@ -91,8 +91,8 @@
     let restart_delay = backoff.start_delay(&ledger, boot, now);
     let options = LogOptions {
         sync: settings.persistence.durability == Durability::Machine,
-        retry_span: settings.rules.retry_budget.as_ref().map_or(Duration::ZERO, |r| r.window_ms.get()),
-        bounds,
+        retry_window: settings.rules.retry_budget.as_ref().map_or(Duration::ZERO, |r| r.window_ms.get()),
+        ledger_limits,
     };
     let storage: Box<dyn LogStorage> = Box::new(log_file);
     let log = WriteAheadLog::start(storage, ledger, LogRecord::IncarnationStarted { boot }, options);
--- a/crates/front/src/members.rs
+++ b/crates/front/src/members.rs
@@ -123,15 +123,16 @@
     /// Returns the number of fronts that the policy may assume now. Inner `None`: no lease count is in force.
     /// Outer `None`: there are no witnesses, and the number from the settings applies.
     pub(crate) fn fleet_size(&self) -> Option<Option<usize>> {
-        self.uses_witnesses.then(|| self.member().fleet_size().and_then(|p| p.valid_at(self.clock.now())))
+        self.uses_witnesses
+            .then(|| self.member().fleet_size().and_then(|size| size.valid_at(self.clock.now())))
     }
 
     /// Returns the address of a newer process with this front's name, if there is one.
     pub(crate) fn superseded_by(&self) -> Option<SocketAddr> {
-        self.member().replaced_by().map(|w| w.address)
+        self.member().replaced_by().map(|id| id.address)
     }
 
-    /// Returns the full member list, sealed for the member that asked.
+    /// Returns the full member list, sealed for the member that sent the request with this nonce.
     pub(crate) fn sealed_member_list(&self, nonce: u64) -> Option<Vec<u8>> {
         self.member().records(nonce)
     }
@@ -145,11 +146,11 @@
                 MemberEvent::Stalled(d) => {
                     tracing::warn!(member = %name, ms = d.as_millis() as u64, "process was suspended: previous membership state is suspect")
                 }
-                MemberEvent::IncarnationRaised(who) => {
-                    tracing::warn!(member = %name, life = %who.incarnation, "was declared dead by other members: continues as a new incarnation")
+                MemberEvent::IncarnationRaised(id) => {
+                    tracing::warn!(member = %name, life = %id.incarnation, "was declared dead by other members: continues as a new incarnation")
                 }
-                MemberEvent::Replaced(who) => tracing::error!(
-                    member = %name, address = %who.address, life = %who.incarnation,
+                MemberEvent::Replaced(id) => tracing::error!(
+                    member = %name, address = %id.address, life = %id.incarnation,
                     "a newer process has this front's name: this one accepts nothing new"
                 ),
             }
--- a/crates/front/src/members/permits.rs
+++ b/crates/front/src/members/permits.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sets whether this front is to go out of service.
+    /// Sets whether this front is to leave service.
     pub(crate) fn set_leaving(&self, leaving: bool) {
         if let Some(mut permits) = self.permits() {
             permits.set_leaving(leaving);
--- a/crates/front/src/object.rs
+++ b/crates/front/src/object.rs
@@ -85,7 +85,7 @@
     let _ = shared.event_tx.send(LoopEvent::from_input(Input::SessionLost { request: route.request })).await;
 }
 
-/// Returns the head of the object's response, with a limit of `servers.object_ms` for each try.
+/// Requests an object and returns the head of the response, with a limit of `servers.object_ms` for each try.
 ///
 /// A reused connection that closes before the response is tried once more on a new one, which is safe because
 /// later objects set nothing up.
--- a/crates/front/src/out_of_service/fleet_state.rs
+++ b/crates/front/src/out_of_service/fleet_state.rs
@@ -24,12 +24,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Returns the subject of a front, the same for all its incarnations.
+/// Returns the subject of a front, the same for all its incarnations: a hash of its name.
 pub(super) fn front_subject(name: &str) -> Subject {
     Subject::Front(title_id(name))
 }
 
-/// Returns the place of a front in a zone.
+/// Returns the place of a front in a zone, identified by a 32-bit hash of the zone's name.
 pub(super) fn front_place(zone: &str) -> Place {
     let digest = title_id(zone);
     Place { zone: (digest ^ digest >> 32) as u32, rack: None, cell: None }
@@ -76,7 +76,7 @@
         place: front_place(&s.id.zone),
         availability: match s.state {
             MemberState::Alive if !is_ready(ready, s) => Availability::OutOfService,
-            sure => Availability::from(sure),
+            state => Availability::from(state),
         },
         link_kbit_s: 0,
     };
--- a/crates/front/src/out_of_service/leave.rs
+++ b/crates/front/src/out_of_service/leave.rs
@@ -20,7 +20,7 @@
     pub(crate) permit_work: Notify,
     /// Wakes the task that persists the permit state.
     pub(crate) persist: Notify,
-    /// Wakes the owner of the front: an operator asked at the side address for it to leave.
+    /// Wakes the owner of the front: an operator has requested at the side address that it leave service.
     pub(crate) leave_requested: Notify,
 }
 
@@ -88,7 +88,7 @@
         self.fleet_member.as_ref().map(|f| f.denial_reason()).unwrap_or_default()
     }
 
-    /// Waits until an operator asks at the side address for this front to leave service.
+    /// Waits until an operator requests at the side address that this front leave service.
     pub async fn wait_for_leave_request(&self) {
         match &self.fleet_member {
             Some(fleet) => fleet.signals.leave_requested.notified().await,
--- a/crates/front/src/out_of_service/mod.rs
+++ b/crates/front/src/out_of_service/mod.rs
@@ -26,7 +26,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Path at the side address where an operator asks this front to leave service.
+/// Path at the side address where an operator requests that this front leave service.
 pub(crate) const PATH: &str = "/v1/out";
 /// Minimum delay between two proposals; up to the same again is added as jitter.
 const MIN_PROPOSAL_DELAY: Duration = Duration::from_millis(250);
@@ -53,7 +53,7 @@
 struct HeldPermit {
     granted: GrantedLease,
     term: Term,
-    /// State version that must have been attempted to be written before the permit is used.
+    /// Version of the persisted state whose write must have been attempted before the permit is used.
     state_version: u64,
 }
 
@@ -62,6 +62,7 @@
 pub(crate) struct OutOfService {
     name: String,
     own_address: SocketAddr,
+    /// Random token of this incarnation.
     incarnation: u64,
     subject: Subject,
     place: Place,
@@ -78,15 +79,15 @@
     /// True once this front accepts viewers.
     in_service: bool,
     held_permit: Option<HeldPermit>,
-    /// Incarnations that requested a permit and have not returned it: previous ones until this one is in
-    /// service, its own if it stays.
+    /// Incarnations of this front that requested a permit and have not returned it. Those of previous ones
+    /// are returned once this one is in service; its own is returned if the front does not leave.
     unreturned: Vec<u64>,
     /// True once a member's full list has arrived since the start.
     list_received: bool,
     /// Last time at which the view was certain: complete, and with a majority of the witnesses alive.
     last_certain_at: Option<Duration>,
     fleet_state: FleetView,
-    /// View number and time of the last evaluation.
+    /// Version of the membership view and time of the last evaluation.
     last_evaluation: Option<(u64, Duration)>,
     /// Reason why the last proposal failed.
     denial_reason: String,
@@ -95,7 +96,7 @@
     state_file: Option<PermitFile>,
     /// Incremented by each change of the persisted state.
     state_version: u64,
-    /// Last version that was written or failed to be.
+    /// Last version whose write was attempted, successfully or not.
     attempted_version: u64,
     /// Last version that is on the disk.
     persisted_version: u64,
--- a/crates/front/src/out_of_service/persistence.rs
+++ b/crates/front/src/out_of_service/persistence.rs
@@ -1,5 +1,5 @@
-//! Permit state that survives a restart, in the file `.out` beside `keep.file`: permits to return, and what
-//! an acceptor promised and accepted.
+//! Permit state that survives a restart, in the file `.out` beside `keep.file`: permits to return, and the
+//! ballots that an acceptor promised and accepted.
 //!
 //! An acceptor's reply is sent once the state it rests on is written, or not at all; a separate task waits
 //! for the disk. Without a file nothing is persisted: permits expire by their lease, and an acceptor reports
--- a/crates/front/src/out_of_service/protocol.rs
+++ b/crates/front/src/out_of_service/protocol.rs
@@ -100,7 +100,8 @@
     /// Returns the next change to propose. Permits of previous incarnations are returned first, because a
     /// permit has one holder.
     fn next_change(&self, now: Duration) -> Option<PendingChange> {
-        // Its own permit is returned only while it is not to leave, and so does not use it.
+        // The permit of this incarnation is returned only while the front is not leaving, and so does not use
+        // it.
         let unreturned = self.unreturned.iter().filter(|incarnation| {
             if **incarnation == self.incarnation {
                 !self.leaving
--- a/crates/front/src/out_of_service/state.rs
+++ b/crates/front/src/out_of_service/state.rs
@@ -8,7 +8,9 @@
 impl OutOfService {
     /// Evaluates the fleet, if the view has changed or the interval has passed.
     pub(crate) fn update_view(&mut self, now: Duration, view: &MembershipView) {
-        if self.last_evaluation.is_some_and(|(number, at)| number == view.version && now < at + VIEW_INTERVAL)
+        if self
+            .last_evaluation
+            .is_some_and(|(version, at)| version == view.version && now < at + VIEW_INTERVAL)
         {
             return;
         }
@@ -58,13 +60,11 @@
     /// # Errors
     /// The first invariant that is violated.
     pub(crate) fn check(&self) -> Result<(), InvariantViolation> {
-        let require = |holds, what| match holds {
+        let require = |holds, invariant| match holds {
             true => Ok(()),
-            false => Err(InvariantViolation {
-                component: "front's permits",
-                id: self.incarnation,
-                invariant: what,
-            }),
+            false => {
+                Err(InvariantViolation { component: "front's permits", id: self.incarnation, invariant })
+            }
         };
         require(
             self.persisted_version <= self.attempted_version && self.attempted_version <= self.state_version,
--- a/crates/front/src/peers.rs
+++ b/crates/front/src/peers.rs
@@ -1,9 +1,9 @@
 //! Exchange of knowledge with peers: a warm start, then periodic deltas.
 //!
-//! [`WarmStart`] decides which peer to ask and when. This module sends the requests over HTTP to the peers' side
-//! addresses and passes the responses to the event loop. A request is limited by `peers.deadline_ms`; a
-//! transfer that is cut off resumes where it stopped (RFC 9110, section 14, by range and entity tag).
-//! Dropping the task drops its requests.
+//! [`WarmStart`] decides which peers get a request and when. This module sends the requests over HTTP to the
+//! peers' side addresses and passes the responses to the event loop. A request is limited by
+//! `peers.deadline_ms`; a transfer that is cut off resumes where it stopped (RFC 9110, section 14, by range
+//! and entity tag). Dropping the task drops its requests.
 
 mod fetch;
 
@@ -50,7 +50,7 @@
     shared: Arc<Shared>,
     status: Arc<FrontStatus>,
     own_address: Option<SocketAddr>,
-    warmer: WarmStart,
+    warm_start: WarmStart,
     /// Sequence number of the last change received from each peer; its next delta starts there.
     last_seq: BTreeMap<SocketAddr, u64>,
     requests: JoinSet<(SocketAddr, PeerReply)>,
@@ -72,7 +72,7 @@
         max_jitter: settings.max_jitter_ms.get(),
         horizon: settings.max_age_ms.get(),
     };
-    let warmer = WarmStart::new(
+    let warm_start = WarmStart::new(
         shared.clock.now(),
         warm_settings,
         fastrand::u64(..),
@@ -83,7 +83,7 @@
     let mut exchange = PeerExchange {
         status,
         own_address,
-        warmer,
+        warm_start,
         last_seq: BTreeMap::new(),
         requests: JoinSet::new(),
         shared: shared.clone(),
@@ -92,14 +92,15 @@
     loop {
         exchange.publish_level();
         let now = shared.clock.now();
-        for request in exchange.warmer.poll(now) {
+        for request in exchange.warm_start.poll(now) {
             exchange.send_request(request, None);
         }
         if delta_interval.is_some_and(|_| now >= next_delta) {
             next_delta = now + delta_interval.unwrap_or_default();
             exchange.request_delta();
         }
-        let wake_at = exchange.warmer.next_poll().into_iter().chain(delta_interval.map(|_| next_delta)).min();
+        let wake_at =
+            exchange.warm_start.next_poll().into_iter().chain(delta_interval.map(|_| next_delta)).min();
         let wake_at = wake_at.unwrap_or(now + Duration::from_secs(3600));
         tokio::select! {
             () = sleep_until(shared.clock.instant(wake_at)) => {}
@@ -111,11 +112,11 @@
 
 impl PeerExchange {
     fn publish_level(&self) {
-        let (level, reason) = self.warmer.level();
+        let (level, reason) = self.warm_start.level();
         if self.status.set_level(level, reason) {
             tracing::info!(level = level.as_str(), why = reason.as_str(), "warm-up level changed");
         }
-        self.status.add_peers(self.warmer.peers().collect());
+        self.status.add_peers(self.warm_start.peers().collect());
     }
 
     fn send_request(&mut self, request: PeerRequest, after: Option<u64>) {
@@ -128,12 +129,12 @@
         });
     }
 
-    /// Asks a random peer for its changes since the last request.
+    /// Requests from a random peer its changes since the last request.
     fn request_delta(&mut self) {
-        if self.warmer.level().0 == KnowledgeLevel::Warming || !self.requests.is_empty() {
+        if self.warm_start.level().0 == KnowledgeLevel::Warming || !self.requests.is_empty() {
             return;
         }
-        let candidates: Vec<SocketAddr> = self.warmer.peers().collect();
+        let candidates: Vec<SocketAddr> = self.warm_start.peers().collect();
         if let Some(peer) = fastrand::choice(candidates.iter()) {
             let after = self.last_seq.get(peer).copied();
             self.send_request(PeerRequest { peer: *peer, nonce: fastrand::u64(1..) }, after);
@@ -146,11 +147,11 @@
                 let input = Input::PeerMessage { peer, requested_at, nonce, message };
                 let _ = self.shared.event_tx.send(LoopEvent::from_input(input)).await;
             }
-            PeerReply::Busy(after) => self.warmer.on_busy(self.shared.clock.now(), peer, after),
+            PeerReply::Busy(after) => self.warm_start.on_busy(self.shared.clock.now(), peer, after),
             PeerReply::Failed => {
                 // The peer may have restarted, with its own sequence numbers.
                 self.last_seq.remove(&peer);
-                self.warmer.on_failure(peer);
+                self.warm_start.on_failure(peer);
             }
         }
     }
@@ -159,12 +160,12 @@
         match outcome {
             Ok(peer_status) => {
                 self.last_seq.insert(peer, peer_status.seq);
-                self.warmer.add_peers(&peer_status.peers);
-                self.warmer.on_answer(peer, peer_status.level);
+                self.warm_start.add_peers(&peer_status.peers);
+                self.warm_start.on_answer(peer, peer_status.level);
             }
             Err(_) => {
                 self.last_seq.remove(&peer);
-                self.warmer.on_failure(peer);
+                self.warm_start.on_failure(peer);
             }
         }
     }
--- a/crates/front/src/side_endpoint.rs
+++ b/crates/front/src/side_endpoint.rs
@@ -123,7 +123,7 @@
         self.fleet.as_ref()?.fleet_size()
     }
 
-    /// Adds peers that were learnt from other sources.
+    /// Adds peers that were discovered while running, up to [`MAX_PEERS`] in total.
     pub(crate) fn add_peers(&self, all: Vec<SocketAddr>) {
         let mut peers = lock(&self.peers);
         let capacity = MAX_PEERS.saturating_sub(peers.len());
@@ -177,7 +177,7 @@
     let _ = write_response(conn, head, body).await;
 }
 
-/// Handles an operator's request to go out of service once a permit allows it.
+/// Handles an operator's request that this front leave service once it holds a permit.
 fn request_leave(status: &FrontStatus, method: &Method) -> (u16, String) {
     match status.fleet().filter(|f| f.permits().is_some()) {
         None => (404, String::new()),
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -83,7 +83,7 @@
     pub(crate) cmsd_path: String,
 }
 
-/// Reads `CMSD-Dynamic`. Its last member is that of the server that was asked.
+/// Reads `CMSD-Dynamic`. Its last member was added by the server that sent the response.
 pub(crate) fn response_hints(head: &ResponseHead, kbps: u32) -> ResponseHints {
     let Some(cmsd_path) = head.headers.joined(cmsd::DYNAMIC_HEADER) else { return ResponseHints::default() };
     let mut faults = Faults::default();
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -1,7 +1,8 @@
-//! A viewer's connection: sequential requests, each with exactly one response. It buffers at most a head of
-//! `listen.head_bytes`, a report of `listen.report_bytes` or one frame of a response. Time limits:
-//! `listen.idle_ms` between requests; `listen.head_ms` for a head once its first byte has arrived, and for a
-//! body.
+//! A viewer's connection: sequential requests, each with exactly one response.
+//!
+//! At most a head of `listen.head_bytes`, a report of `listen.report_bytes` or one frame of a response is
+//! buffered. Time limits: `listen.idle_ms` between requests; `listen.head_ms` for a head once its first byte
+//! has arrived, and for a body.
 
 mod conn;
 
--- a/crates/front/src/write_ahead_log.rs
+++ b/crates/front/src/write_ahead_log.rs
@@ -96,10 +96,10 @@
 pub(crate) struct LogOptions {
     /// True to sync each write to the disk, not only to the page cache.
     pub(crate) sync: bool,
-    /// Age beyond which retries no longer count against the retry budget.
-    pub(crate) retry_span: Duration,
+    /// Window of the retry budget; older retries no longer count.
+    pub(crate) retry_window: Duration,
     /// Size limits of the ledger.
-    pub(crate) bounds: LedgerLimits,
+    pub(crate) ledger_limits: LedgerLimits,
 }
 
 /// Handle to the log writer.
@@ -144,7 +144,7 @@
             buffer: Vec::new(),
         };
         // Applied to the ledger before any record can be submitted; the first rewrite persists it.
-        writer.ledger.apply(current_stamp(), &start_record, &writer.options.bounds);
+        writer.ledger.apply(current_stamp(), &start_record, &writer.options.ledger_limits);
         std::thread::spawn(move || writer.run(command_rx));
         WriteAheadLog { command_tx: Some(command_tx), status }
     }
--- a/crates/front/src/write_ahead_log/tests.rs
+++ b/crates/front/src/write_ahead_log/tests.rs
@@ -45,8 +45,11 @@
 }
 
 fn start_log(storage: &MemoryLog) -> WriteAheadLog {
-    let options =
-        LogOptions { sync: true, retry_span: Duration::from_secs(10), bounds: LedgerLimits::default() };
+    let options = LogOptions {
+        sync: true,
+        retry_window: Duration::from_secs(10),
+        ledger_limits: LedgerLimits::default(),
+    };
     let start_record = LogRecord::IncarnationStarted { boot: BootId(1) };
     WriteAheadLog::start(Box::new(storage.clone()), Ledger::default(), start_record, options)
 }
--- a/crates/front/src/write_ahead_log/writer.rs
+++ b/crates/front/src/write_ahead_log/writer.rs
@@ -93,7 +93,7 @@
             // An effect without a waiter has already taken place: it goes into the ledger, and so into the
             // next rewrite, even if this write failed.
             if persisted || queued.confirm_tx.is_none() {
-                self.ledger.apply(at, &queued.record, &self.options.bounds);
+                self.ledger.apply(at, &queued.record, &self.options.ledger_limits);
             }
             if let Some(confirm_tx) = queued.confirm_tx {
                 let _ = confirm_tx.send(persisted);
@@ -116,7 +116,7 @@
     /// Replaces the log with one snapshot of the ledger. Returns true on success.
     fn rewrite(&mut self) -> bool {
         let at: Timestamp = current_stamp();
-        self.ledger.forget_retries(at, self.options.retry_span);
+        self.ledger.forget_retries(at, self.options.retry_window);
         let mut buffer = MAGIC.to_vec();
         if encode(at, &LogRecord::Snapshot(Box::new(self.ledger.clone())), &mut buffer).is_err() {
             return self.status.record_result(Err(std::io::Error::other("the ledger is too long")));
--- a/crates/front/tests/peers.rs
+++ b/crates/front/tests/peers.rs
@@ -176,11 +176,11 @@
 #[tokio::test]
 async fn unreachable_or_silent_peers_are_hedged() {
     let (first, second) = (TestServer::start(Script::Serves).await, TestServer::start(Script::Serves).await);
-    let gone = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    let unreachable = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (warm, _) = start_peer(Arc::new(|_, nonce, _| ok_response(encoded_message(nonce)))).await;
     let (front, health) =
-        start_with_peers([&first, &second], &[gone, silent.local_addr().unwrap(), warm]).await;
+        start_with_peers([&first, &second], &[unreachable, silent.local_addr().unwrap(), warm]).await;
     assert!(health.contains("\"level\":\"warm\""), "{health}");
     assert_eq!(sessions_at_first(&front, &first).await, 0);
 }
--- a/crates/front/tests/permit_state.rs
+++ b/crates/front/tests/permit_state.rs
@@ -6,8 +6,8 @@
 use std::os::unix::fs::PermissionsExt;
 use std::time::Duration;
 
-/// Permits from the file are read and kept while they are not returned, and the acceptor's state is written
-/// beside them. Guards against a renamed field, by which an upgraded front would forget both.
+/// Permits from the file are read and retained while they are not returned, and the acceptor's state is
+/// written beside them. Guards against a renamed field, by which an upgraded front would forget both.
 #[tokio::test]
 async fn permit_state_file_keeps_its_field_names() {
     let dir = temp_dir("permit-state");
@@ -41,7 +41,7 @@
         }
     };
     let state = tokio::time::timeout(TEST_TIMEOUT, written).await.expect("the requested permit is recorded");
-    assert_eq!(state["owed"][0], 7, "the permit of the previous incarnation is kept: {state}");
+    assert_eq!(state["owed"][0], 7, "the permit of the previous incarnation is retained: {state}");
     assert!(state["clerk"].is_object(), "the acceptor's state: {state}");
     front.front.stop().await;
 }
--- a/crates/front/tests/sockets.rs
+++ b/crates/front/tests/sockets.rs
@@ -57,8 +57,8 @@
 
 #[tokio::test]
 async fn refused_connection_lets_a_paid_set_up_be_retried() {
-    let (gone, server) = (unreachable_address().await, TestServer::start(Script::Serves).await);
-    let front = start_front(start_discovery(&[gone, server.address]).await, "").await;
+    let (unreachable, server) = (unreachable_address().await, TestServer::start(Script::Serves).await);
+    let front = start_front(start_discovery(&[unreachable, server.address]).await, "").await;
     wait_ready(&front).await;
     for i in 0..6 {
         let got =
--- a/crates/hints/src/cmcd.rs
+++ b/crates/hints/src/cmcd.rs
@@ -8,11 +8,11 @@
 pub const QUERY_PARAM: &str = "CMCD";
 /// Content type of event and response reports (CTA-5004-A, report modes).
 pub const REPORT_MIME_TYPE: &str = "application/cmcd";
-/// Most custom keys retained per record.
+/// Maximum number of custom keys retained per record.
 pub const MAX_CUSTOM_KEYS: usize = 16;
-/// Longest name and longest value of a custom key in bytes.
+/// Maximum length of the name and of the value of a custom key, each in bytes.
 pub const MAX_CUSTOM_BYTES: usize = 256;
-/// Most records read from one report body.
+/// Maximum number of records read from one report body.
 pub const MAX_REPORTS: usize = 256;
 
 /// Bit rate in kilobits per second.
--- a/crates/hints/src/cmsd.rs
+++ b/crates/hints/src/cmsd.rs
@@ -14,9 +14,9 @@
 pub const STATIC_HEADER: &str = "cmsd-static";
 /// Name of the header to which each intermediary appends its member, in lower case.
 pub const DYNAMIC_HEADER: &str = "cmsd-dynamic";
-/// Most members of a `CMSD-Dynamic` that are read; a longer path indicates a forwarding loop.
+/// Maximum number of members of a `CMSD-Dynamic` that are read; a longer path indicates a forwarding loop.
 pub const MAX_HOPS: usize = 16;
-/// Longest text of either header that is parsed, in bytes.
+/// Maximum length of a header text that is parsed, in bytes.
 pub const MAX_HEADER_BYTES: usize = 8192;
 
 /// Custom keys for values that the standard has no key for.
@@ -29,7 +29,7 @@
     /// Demand on the rack's uplink divided by the uplink's capacity.
     pub(super) const RACK: &KeyRef = key_ref("com.cloverhollow-rack");
     /// True if the set-up certainly was not executed.
-    pub(super) const UNRUN: &KeyRef = key_ref("com.cloverhollow-unrun");
+    pub(super) const NOT_EXECUTED: &KeyRef = key_ref("com.cloverhollow-unrun");
     /// Reason for which no session was set up.
     pub(super) const REASON: &KeyRef = key_ref("com.cloverhollow-reason");
     /// Rung at which the session plays, as an index of the ladder.
@@ -157,7 +157,7 @@
             streams: reader.integer(custom::STREAMS.as_str()),
             link_utilization: reader.ratio(custom::LINK.as_str()),
             rack_utilization: reader.ratio(custom::RACK.as_str()),
-            not_executed: reader.flag(custom::UNRUN.as_str()),
+            not_executed: reader.flag(custom::NOT_EXECUTED.as_str()),
             reason: reader.token(custom::REASON.as_str()),
             rung: reader.integer(custom::RUNG.as_str()),
         });
@@ -197,7 +197,7 @@
             }
         }
         if self.not_executed {
-            params = params.parameter(custom::UNRUN, true);
+            params = params.parameter(custom::NOT_EXECUTED, true);
         }
         if let Some(token) = self.reason.as_deref().and_then(|r| TokenRef::from_str(r).ok()) {
             params = params.parameter(custom::REASON, token);
--- a/crates/hints/src/keys.rs
+++ b/crates/hints/src/keys.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// How the members of an inner list are combined into one value (version 2 has one member per track).
+/// Function that combines the members of an inner list into one value (version 2 has one member per track).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fold {
     /// Sum over all tracks (bitrates).
@@ -89,9 +89,9 @@
     Kind::Integer { max, round, fold }
 }
 
-/// Longest `cid`, `sid` and `nrr` in characters (CTA-5004, table 1).
+/// Maximum length of `cid`, `sid` and `nrr` in characters (CTA-5004, table 1).
 pub(crate) const MAX_ID_LENGTH: usize = 64;
-/// Longest `nor` in characters. The standard has no limit; this one bounds the memory of a request.
+/// Maximum length of `nor` in characters. The standard has no limit; this one bounds the memory of a request.
 pub(crate) const MAX_URL_LENGTH: usize = 1024;
 const MAX_U32: u64 = u32::MAX as u64;
 /// Largest integer of a structured field (RFC 9651, section 3.3.1).
--- a/crates/hints/src/reconcile.rs
+++ b/crates/hints/src/reconcile.rs
@@ -16,7 +16,7 @@
     /// The play state is an end state but the request is urgent: the state is dropped, as the player requests
     /// media.
     EndedButUrgent,
-    /// The `sid` was used with another `cid` before: the first `cid` is kept.
+    /// The `sid` was used with another `cid` before: the first `cid` stays in use.
     ContentChanged,
 }
 
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -3,9 +3,9 @@
 use crate::{Framing, ParseError};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest chunk-size line, extensions included, and longest trailer line, in bytes.
+/// Maximum length of a chunk-size line, extensions included, and of a trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 256;
-/// Most trailer lines accepted after the last chunk. Trailers are discarded.
+/// Maximum number of trailer lines accepted after the last chunk. Trailers are discarded.
 const MAX_TRAILERS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// How the end of a body is determined (RFC 9112, section 6).
+/// Method by which the end of a body is determined (RFC 9112, section 6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// No body.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -24,11 +24,11 @@
 /// Bounds on the memory that a decoder uses for one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest head in bytes, line ends included.
+    /// Maximum length of a head in bytes, line ends included.
     pub max_head_bytes: usize,
-    /// Most header lines of one head; at most 128 are accepted whatever the value.
+    /// Maximum number of header lines of one head; values above 128 act as 128.
     pub max_headers: usize,
-    /// Most bytes of one data frame; longer bodies are split.
+    /// Maximum length of one data frame in bytes; longer bodies are split.
     pub max_frame_bytes: usize,
 }
 
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -192,8 +192,8 @@
 
 impl Script {
     fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let fault = |field: &str, what: String| {
-            Err(SettingsError::Field { file: file.into(), line: 0, field: field.into(), what })
+        let fault = |field: &str, description: String| {
+            Err(SettingsError::Field { file: file.into(), line: 0, field: field.into(), description })
         };
         let (v, f) = (&self.viewers, &self.fleet);
         let class = |p: &Part| !self.front.classes.0.iter().any(|c| c.name == p.name);
--- a/crates/lab/src/script/trouble.rs
+++ b/crates/lab/src/script/trouble.rs
@@ -180,8 +180,8 @@
 impl Trouble {
     /// Whether it can befall that script's day.
     pub(super) fn check(&self, script: &Script, field: &str, file: &str) -> Result<(), SettingsError> {
-        let fault = |field: &str, what: String| {
-            Err(SettingsError::Field { file: file.into(), line: 0, field: field.into(), what })
+        let fault = |field: &str, description: String| {
+            Err(SettingsError::Field { file: file.into(), line: 0, field: field.into(), description })
         };
         if self.kind == Kind::TenantBurst && self.tenant.is_none() {
             return fault(field, "tenant_burst names its tenant".into());
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -4,8 +4,8 @@
 
 impl FrontSettings {
     pub(crate) fn check_members(&self, file: &str) -> Result<(), SettingsError> {
-        let fault = |line: u64, field: String, what: String| {
-            Err(SettingsError::Field { file: file.into(), line, field, what })
+        let fault = |line: u64, field: String, description: String| {
+            Err(SettingsError::Field { file: file.into(), line, field, description })
         };
         let members = &self.members;
         if members.listen.is_some() && members.keys.is_empty() {
@@ -39,16 +39,20 @@
             return fault(0, "members.answer_ms".into(), "greater than half of members.probe_ms".into());
         }
         if self.out_of_service.max_in_fleet.value > 20 {
-            let what = format!("{} is not in 0..=20", self.out_of_service.max_in_fleet.value);
-            return fault(self.out_of_service.max_in_fleet.referenced.line(), "out.fleet".into(), what);
+            let description = format!("{} is not in 0..=20", self.out_of_service.max_in_fleet.value);
+            return fault(
+                self.out_of_service.max_in_fleet.referenced.line(),
+                "out.fleet".into(),
+                description,
+            );
         }
         if self.out_of_service.is_enabled() && (members.listen.is_none() || members.witnesses.is_empty()) {
-            let what =
+            let description =
                 "needs members.listen and members.witnesses: a majority of the witnesses grants permits";
             return fault(
                 self.out_of_service.max_in_fleet.referenced.line(),
                 "out.fleet".into(),
-                what.into(),
+                description.into(),
             );
         }
         Ok(())
--- a/crates/settings/src/fields/classes.rs
+++ b/crates/settings/src/fields/classes.rs
@@ -34,7 +34,7 @@
     /// True if the titles of the class are live streams. Default false.
     #[serde(default)]
     pub live: bool,
-    /// Most sessions of one title at this front; 0 for no limit; 0 to 1,000,000. Default 0.
+    /// Maximum number of sessions of one title at this front; 0 for no limit; 0 to 1,000,000. Default 0.
     #[serde(rename = "seats", default = "no_session_limit")]
     pub max_sessions_per_title: Int<0, 1_000_000>,
 }
--- a/crates/settings/src/fields/fleet.rs
+++ b/crates/settings/src/fields/fleet.rs
@@ -11,7 +11,7 @@
 pub struct ServerKind {
     /// Name in the server list.
     pub name: Name,
-    /// Most concurrent streams of such a server; 1 to 1,000,000.
+    /// Maximum number of concurrent streams of a server of this kind; 1 to 1,000,000.
     #[serde(rename = "streams")]
     pub max_streams: Int<1, 1_000_000>,
 }
--- a/crates/settings/src/fields/listen.rs
+++ b/crates/settings/src/fields/listen.rs
@@ -11,7 +11,8 @@
 pub struct Listen {
     /// Address and port to listen on; port 0 selects any free port. Default `127.0.0.1:8080`.
     pub address: SocketAddr,
-    /// Most open connections; further ones are answered with status 503; 1 to 1,000,000. Default 16,384.
+    /// Maximum number of open connections; further ones are answered with status 503; 1 to 1,000,000.
+    /// Default 16,384.
     #[serde(rename = "connections")]
     pub max_connections: Int<1, 1_000_000>,
     /// Time within which a request head must be complete, else status 408; 10 ms to 1 minute. Default 5 s.
@@ -23,13 +24,13 @@
     /// Time within which a viewer must accept each part of a response; 100 ms to 1 minute. Default 10 s.
     #[serde(rename = "write_ms")]
     pub write_timeout_ms: Millis<100, MINUTE_MS>,
-    /// Longest request head, else status 431; 512 to 65,536 bytes. Default 8,192.
+    /// Maximum length of a request head, else status 431; 512 to 65,536 bytes. Default 8,192.
     #[serde(rename = "head_bytes")]
     pub max_head_bytes: Int<512, 65_536>,
-    /// Most header lines of a request, else status 431; 8 to 128. Default 64.
+    /// Maximum number of header lines of a request, else status 431; 8 to 128. Default 64.
     #[serde(rename = "header_lines")]
     pub max_headers: Int<8, 128>,
-    /// Longest report body, else status 413; 0 to 1,048,576 bytes. Default 65,536.
+    /// Maximum length of a report body, else status 413; 0 to 1,048,576 bytes. Default 65,536.
     #[serde(rename = "report_bytes")]
     pub max_report_bytes: Int<0, 1_048_576>,
 }
--- a/crates/settings/src/fields/members.rs
+++ b/crates/settings/src/fields/members.rs
@@ -15,10 +15,10 @@
     /// Address to which other members send datagrams. Default: the address of `listen`.
     #[serde(rename = "address")]
     pub advertised_address: Option<SocketAddr>,
-    /// Such addresses of some members; may include the own one; 0 to 64. Default empty.
+    /// Datagram addresses of some members; may include this front's own; 0 to 64. Default empty.
     pub seeds: Vec<SocketAddr>,
-    /// Such addresses of the witnesses, equal at all fronts, three or five. Default empty: fronts are not
-    /// counted, and `instance.fronts` applies.
+    /// Datagram addresses of the witnesses, equal at all fronts; usually three or five, at most 64.
+    /// Default empty: fronts are not counted, and `instance.fronts` applies.
     pub witnesses: Vec<SocketAddr>,
     /// Keys accepted for datagrams; the first one seals outgoing datagrams; 1 to 16 if `listen` is set.
     /// Default empty.
@@ -36,10 +36,10 @@
     /// Interval at which updates are passed on; 10 ms to 1 minute. Default 200 ms.
     #[serde(rename = "gossip_ms")]
     pub gossip_interval_ms: Millis<10, MINUTE_MS>,
-    /// Interval at which members that are gone, and seeds, are contacted; 100 ms to 1 hour. Default 2 s.
+    /// Interval at which members that are down, and seeds, are contacted; 100 ms to 1 hour. Default 2 s.
     #[serde(rename = "heal_ms")]
     pub reconnect_interval_ms: Millis<100, HOUR_MS>,
-    /// Interval at which one member is asked for its complete state; 100 ms to 1 hour. Default 10 s.
+    /// Interval at which the complete state of one member is requested; 100 ms to 1 hour. Default 10 s.
     #[serde(rename = "sync_ms")]
     pub sync_interval_ms: Millis<100, HOUR_MS>,
     /// Duration of the lease by which the witnesses count a front, equal at all fronts; 200 ms to 1 hour.
--- a/crates/settings/src/fields/out_of_service.rs
+++ b/crates/settings/src/fields/out_of_service.rs
@@ -10,17 +10,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OutOfService {
-    /// Most fronts of the fleet out of service at the same time; 0 to 20. 0: disabled, a front that is told
-    /// to stop stops at once. Default 0.
+    /// Maximum number of fronts of the fleet out of service at the same time; 0 to 20. 0: disabled, a front
+    /// stops at once when it gets a stop signal. Default 0.
     #[serde(rename = "fleet")]
     pub max_in_fleet: Spanned<u64>,
-    /// Most fronts of one zone out of service at the same time; 1 to 20. Default 1.
+    /// Maximum number of fronts of one zone out of service at the same time; 1 to 20. Default 1.
     #[serde(rename = "hall")]
     pub max_in_zone: Int<1, 20>,
     /// Time after which a permit that was not returned expires; 1 s to 1 hour. Default 60 s.
     #[serde(rename = "lease_ms")]
     pub permit_duration_ms: Millis<1_000, HOUR_MS>,
-    /// Time for which a front that was told to stop waits for its permit before it stops without one;
+    /// Time for which a front that got a stop signal waits for its permit before it stops without one;
     /// 0 to 1 hour. Default 30 s.
     #[serde(rename = "wait_ms")]
     pub max_wait_ms: Millis<0, HOUR_MS>,
--- a/crates/settings/src/fields/peers.rs
+++ b/crates/settings/src/fields/peers.rs
@@ -12,14 +12,15 @@
     /// Name of the fleet; messages of fronts of another fleet are ignored. Default `fleet`.
     #[serde(rename = "fleet")]
     pub fleet_name: Name,
-    /// `side` addresses of some peers; further ones are learned from them. Default empty: no peer is asked.
+    /// `side` addresses of some peers; further ones are learned from them. Default empty: no
+    /// warm start from peers.
     pub addresses: Vec<SocketAddr>,
-    /// Peers asked concurrently during the warm start; 1 to 16. Default 2.
+    /// Maximum number of concurrent requests during the warm start; 1 to 16. Default 2.
     pub parallel: Int<1, 16>,
     /// Answers of warm peers that complete the warm start; 1 to 16. Default 2.
     #[serde(rename = "enough")]
     pub sufficient_answers: Int<1, 16>,
-    /// Time without an answer after which another peer is asked; 1 ms to 1 minute. Default 150 ms.
+    /// Time without an answer after which a request goes to another peer; 1 ms to 1 minute. Default 150 ms.
     #[serde(rename = "hedge_ms")]
     pub hedge_delay_ms: Millis<1, MINUTE_MS>,
     /// Time limit of the warm start; 10 ms to 1 minute. Default 3 s.
@@ -28,18 +29,18 @@
     /// Upper bound of the random delay before the first request; 0 to 1 minute. Default 200 ms.
     #[serde(rename = "jitter_ms")]
     pub max_jitter_ms: Millis<0, MINUTE_MS>,
-    /// Viewers are accepted once the warm start has ended, but after this time at the latest; 0 to 1 minute.
-    /// Default 500 ms.
+    /// Maximum time that the front waits for the end of the warm start before it accepts viewers;
+    /// 0 to 1 minute. Default 500 ms.
     #[serde(rename = "hold_ms")]
     pub max_hold_ms: Millis<0, MINUTE_MS>,
     /// Age above which knowledge is ignored; 1 s to 10 minutes. Default 30 s.
     #[serde(rename = "horizon_ms")]
     pub max_age_ms: Millis<1_000, 600_000>,
-    /// Interval at which, after the warm start, one peer is asked for changes; 0 disables this; 0 to 1 hour.
-    /// Default 2 s.
+    /// Interval at which, after the warm start, one peer's changes are requested; 0 disables this;
+    /// 0 to 1 hour. Default 2 s.
     #[serde(rename = "every_ms")]
     pub poll_interval_ms: Millis<0, HOUR_MS>,
-    /// Warm starts of peers that this front serves concurrently; 1 to 1,000. Default 4.
+    /// Maximum number of transfers of knowledge that this front serves concurrently; 1 to 1,000. Default 4.
     #[serde(rename = "feeds")]
     pub max_feeds: Int<1, 1_000>,
     /// Retry-after delay for a peer refused because of `feeds`; 1 ms to 1 minute. Default 200 ms.
--- a/crates/settings/src/fields/rules.rs
+++ b/crates/settings/src/fields/rules.rs
@@ -8,10 +8,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Most attempts for one session; 1 to 16. Default 3.
+    /// Maximum number of attempts for one session; 1 to 16. Default 3.
     #[serde(rename = "attempts")]
     pub max_attempts: Int<1, 16>,
-    /// Retry-after delay for refused viewers; 0 to 1 minute. Default 1 s.
+    /// Longest retry-after delay that viewers respect, sent to refused ones; 0 to 1 minute. Default 1 s.
     #[serde(rename = "hold_off_ms")]
     pub max_retry_after_ms: Millis<0, MINUTE_MS>,
     /// Worth of traffic beyond a tenant's quota, as a fraction of its ordinary worth; 0 to 1. Default 1.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Time after which a draining or gone server must get no new set-up; 0 to 1 minute. Default 250 ms.
+    /// Time after which a draining or removed server must get no new set-up; 0 to 1 minute. Default 250 ms.
     pub drain_grace_ms: Millis<0, MINUTE_MS>,
     /// Time after its start within which a server becomes warm; 0 to 1 hour. Default 12 s.
     #[serde(rename = "cold_ms")]
--- a/crates/settings/src/fields/servers.rs
+++ b/crates/settings/src/fields/servers.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Servers {
-    /// Most connections to one server; 1 to 65,536. Default 512.
+    /// Maximum number of connections to one server; 1 to 65,536. Default 512.
     #[serde(rename = "connections")]
     pub max_connections: Int<1, 65_536>,
     /// Time within which a connection must be established; 1 ms to 1 minute. Default 250 ms.
@@ -24,7 +24,8 @@
     /// Time within which each further part of a response body must arrive; 100 ms to 1 minute. Default 10 s.
     #[serde(rename = "body_ms")]
     pub body_timeout_ms: Millis<100, MINUTE_MS>,
-    /// Most releases of sessions that wait to be sent to one server; 1 to 1,000,000. Default 4,096.
+    /// Maximum number of session releases that wait to be sent to one server; 1 to 1,000,000.
+    /// Default 4,096.
     #[serde(rename = "releases")]
     pub max_pending_releases: Int<1, 1_000_000>,
 }
@@ -46,21 +47,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Sessions {
-    /// Most sessions of this front; requests for further ones get status 503; 1 to 10,000,000.
-    /// Default 100,000.
+    /// Maximum number of sessions of this front; requests for further ones get status 503;
+    /// 1 to 10,000,000. Default 100,000.
     #[serde(rename = "most")]
     pub max_sessions: Int<1, 10_000_000>,
     /// Time without a request or report after which a session ends; 100 ms to 1 hour. Default 20 s.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: Millis<100, HOUR_MS>,
-    /// Most requests of one session that wait for its set-up; 1 to 64. Default 8.
+    /// Maximum number of requests of one session that wait for its set-up; 1 to 64. Default 8.
     #[serde(rename = "waiting")]
     pub max_waiting_requests: Int<1, 64>,
-    /// Time before the viewer's deadline at which an answer is given at the latest; 0 to 10 s. Default 50 ms.
+    /// Time before the viewer's deadline by which an answer is given; 0 to 10 s. Default 50 ms.
     #[serde(rename = "margin_ms")]
     pub deadline_margin_ms: Millis<0, 10_000>,
-    /// Most paid sessions remembered as possibly executed, so that none is set up again; 1 to 10,000,000.
-    /// Default 262,144.
+    /// Maximum number of paid sessions remembered as possibly executed, so that none is set up again;
+    /// 1 to 10,000,000. Default 262,144.
     #[serde(rename = "spent")]
     pub max_spent_sessions: Int<1, 10_000_000>,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -28,7 +28,7 @@
         source: std::io::Error,
     },
     /// A field is invalid.
-    #[error("{file}:{line}: {field}: {what}")]
+    #[error("{file}:{line}: {field}: {description}")]
     Field {
         /// Path of the file.
         file: String,
@@ -37,7 +37,7 @@
         /// Path of the field, such as `listen.head_ms`.
         field: String,
         /// Description of the fault, with the allowed range.
-        what: String,
+        description: String,
     },
 }
 
@@ -58,14 +58,14 @@
         let line = e.location().map_or(0, |l| l.line());
         // The location and snippet within the message are removed: the error has its own fields for them.
         let text = bare.to_string();
-        let what = text.lines().next().unwrap_or_default();
-        let what = what.strip_prefix("error: ").unwrap_or(what);
-        let what = what.split_once(" at line ").map_or(what, |(w, _)| w).trim_end();
+        let message = text.lines().next().unwrap_or_default();
+        let message = message.strip_prefix("error: ").unwrap_or(message);
+        let message = message.split_once(" at line ").map_or(message, |(text, _)| text).trim_end();
         // Removes a hint of the parser that addresses programmers, not operators.
-        let what = what.split(", set DuplicateKeyPolicy").next().unwrap_or(what);
+        let message = message.split(", set DuplicateKeyPolicy").next().unwrap_or(message);
         let field =
             if field.is_empty() || field == "." || field == "?" { "file".into() } else { field.clone() };
-        SettingsError::Field { file: file.into(), line, field, what: what.into() }
+        SettingsError::Field { file: file.into(), line, field, description: message.into() }
     })
 }
 
@@ -104,8 +104,8 @@
 
     /// Checks the constraints between fields.
     fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let fault = |line: u64, field: String, what: String| {
-            Err(SettingsError::Field { file: file.into(), line, field, what })
+        let fault = |line: u64, field: String, description: String| {
+            Err(SettingsError::Field { file: file.into(), line, field, description })
         };
         let rungs = self.ladder.0.len();
         if rungs == 0 || rungs > 64 {
@@ -133,14 +133,15 @@
             }
             for (field, rung) in [("floor", &class.min_rung), ("top", &class.max_rung)] {
                 if let Some(r) = rung.as_ref().filter(|r| r.value >= rungs) {
-                    let what = format!("{} is not in 0..={}", r.value, rungs - 1);
-                    return fault(r.referenced.line(), format!("classes[{i}].{field}"), what);
+                    let description = format!("{} is not in 0..={}", r.value, rungs - 1);
+                    return fault(r.referenced.line(), format!("classes[{i}].{field}"), description);
                 }
             }
-            if let (Some(floor), Some(top)) = (&class.min_rung, &class.max_rung) {
-                if floor.value > top.value {
-                    let what = format!("{} is greater than the class's top {}", floor.value, top.value);
-                    return fault(floor.referenced.line(), format!("classes[{i}].floor"), what);
+            if let (Some(min_rung), Some(max_rung)) = (&class.min_rung, &class.max_rung) {
+                if min_rung.value > max_rung.value {
+                    let description =
+                        format!("{} is greater than the class's top {}", min_rung.value, max_rung.value);
+                    return fault(min_rung.referenced.line(), format!("classes[{i}].floor"), description);
                 }
             }
             if class.target_setup_ms.get() > class.deadline_ms.get() {
@@ -150,10 +151,10 @@
                 return fault(0, "sessions.margin_ms".into(), format!("not below classes[{i}].deadline_ms"));
             }
         }
-        let (copies, cells) = (&self.fleet.cells_per_title, self.fleet.cell_count.get());
-        if cells > 0 && !(1..=cells).contains(&copies.value) {
-            let what = format!("{} is not in 1..={cells}, the cells", copies.value);
-            return fault(copies.referenced.line(), "fleet.copies".into(), what);
+        let (cells_per_title, cells) = (&self.fleet.cells_per_title, self.fleet.cell_count.get());
+        if cells > 0 && !(1..=cells).contains(&cells_per_title.value) {
+            let description = format!("{} is not in 1..={cells}, the cells", cells_per_title.value);
+            return fault(cells_per_title.referenced.line(), "fleet.copies".into(), description);
         }
         if self.fleet.kinds.is_empty() {
             return fault(0, "fleet.kinds".into(), "0 kinds are not in 1..=64".into());
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -8,11 +8,14 @@
 
 #[test]
 fn empty_file_gives_defaults_that_pass_the_checks() {
-    let s = FrontSettings::parse("a.yaml", "{}").unwrap();
-    let d = s.decisions();
-    assert_eq!((d.front_count, d.classes.len(), d.ladder.len(), d.limits.max_attempts), (1, 1, 4, 3));
-    assert_eq!((d.classes[0].min_rung, d.classes[0].max_rung), (0, 3));
-    assert!(d.list_pushed);
+    let settings = FrontSettings::parse("a.yaml", "{}").unwrap();
+    let policy = settings.decisions();
+    assert_eq!(
+        (policy.front_count, policy.classes.len(), policy.ladder.len(), policy.limits.max_attempts),
+        (1, 1, 4, 3)
+    );
+    assert_eq!((policy.classes[0].min_rung, policy.classes[0].max_rung), (0, 3));
+    assert!(policy.list_pushed);
 }
 
 #[test]
@@ -65,13 +68,13 @@
 
 #[test]
 fn patterns_match_paths_by_their_placeholders() {
-    let p = Pattern::parse("/v1/{tenant}/{class}/{any}/{title}/{object}").unwrap();
-    let f = p.match_path("/v1/club/clip/x/t-1/a/b.m4s").unwrap();
-    assert_eq!((f.tenant, f.class, f.title), (Some("club"), Some("clip"), Some("t-1")));
-    assert!(p.match_path("/v2/club/clip/x/t-1/a").is_none());
-    assert!(p.match_path("/v1/club/clip/x").is_none());
-    assert!(p.match_path("/v1//clip/x/t-1/a").is_none());
-    let closed = Pattern::parse("/{title}").unwrap();
-    assert!(closed.match_path("/a").is_some() && closed.match_path("/a/b").is_none());
+    let pattern = Pattern::parse("/v1/{tenant}/{class}/{any}/{title}/{object}").unwrap();
+    let found = pattern.match_path("/v1/club/clip/x/t-1/a/b.m4s").unwrap();
+    assert_eq!((found.tenant, found.class, found.title), (Some("club"), Some("clip"), Some("t-1")));
+    assert!(pattern.match_path("/v2/club/clip/x/t-1/a").is_none());
+    assert!(pattern.match_path("/v1/club/clip/x").is_none());
+    assert!(pattern.match_path("/v1//clip/x/t-1/a").is_none());
+    let without_rest = Pattern::parse("/{title}").unwrap();
+    assert!(without_rest.match_path("/a").is_some() && without_rest.match_path("/a/b").is_none());
     assert!(Pattern::parse("/{title}/{title}").is_err());
 }
