--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -49,9 +49,9 @@
     seed: u64,
 ) -> Result<StepObserver, ServeError> {
     let name = settings.instance.name.as_str();
-    let begun = Recorder::create(dir, name, settings_text, seed);
+    let created = Recorder::create(dir, name, settings_text, seed);
     let mut recorder =
-        begun.map_err(|source| ServeError::Record { dir: dir.display().to_string(), source })?;
+        created.map_err(|source| ServeError::Record { dir: dir.display().to_string(), source })?;
     tracing::info!(file = %recorder.path.display(), "recording");
     let mut active = true;
     Ok(Box::new(move |now, events, actions| {
@@ -121,12 +121,12 @@
                 () = front.wait_for_leave_request() => {}
             }
         }
-        let permission = tokio::select! {
-            permission = front.wait_for_leave_permit(wait) => Some(permission),
+        let outcome = tokio::select! {
+            outcome = front.wait_for_leave_permit(wait) => Some(outcome),
             _ = sigterm.recv() => None,
             _ = sigint.recv() => None,
         };
-        match permission {
+        match outcome {
             Some(LeaveOutcome::NotRequired | LeaveOutcome::Granted) => return,
             Some(LeaveOutcome::TimedOut) if signalled => {
                 let (reason, waited_ms) = (front.permit_denial_reason(), wait.as_millis() as u64);
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -27,7 +27,7 @@
 
 #[derive(Subcommand)]
 enum Query {
-    /// Shows bounds on the number of members, the count that decisions use, and who may be out of service.
+    /// Shows bounds on the number of members, the fleet size that decisions use, and who may be out of service.
     Status,
     /// Asks the front to leave service once it holds a permit; it keeps serving until then, and stays if it gets none.
     Out,
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -109,8 +109,8 @@
     let inodes: Vec<&str> =
         lists.iter().flat_map(|l| l.lines().skip(1)).filter_map(|l| l.split_whitespace().nth(9)).collect();
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().flatten();
-    let server_conns = descriptors.filter_map(|fd| std::fs::read_link(fd.path()).ok());
-    let names = server_conns.map(|l| l.to_string_lossy().into_owned());
+    let links = descriptors.filter_map(|fd| std::fs::read_link(fd.path()).ok());
+    let names = links.map(|l| l.to_string_lossy().into_owned());
     names.filter(|n| inodes.iter().any(|i| *n == format!("socket:[{i}]"))).count()
 }
 
--- a/crates/cli/tests/node_channel.rs
+++ b/crates/cli/tests/node_channel.rs
@@ -138,7 +138,7 @@
     send_event(&mut stream, &event(8, false, swap));
     let released = read_head(&mut viewer);
     assert!(released.starts_with("TEARDOWN ") && released.contains(&tag), "{released}");
-    // A session handed over at this name is kept, as the name is listed.
+    // A session handed over at this name stays established, as the name is listed.
     let at_listed = setup_request(0xb1, "clip", 4_000_000).replace(";viewer", ";at:s-00000000;viewer");
     let at_unlisted = setup_request(0xb2, "clip", 4_000_000).replace(";viewer", ";at:s-00000009;viewer");
     viewer.write_all((at_listed + &at_unlisted).as_bytes()).unwrap();
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -110,12 +110,12 @@
 
 /// Polls until `find` returns a value; panics after [`TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         if let Some(found) = find() {
             return found;
         }
-        assert!(begun.elapsed() < TIMEOUT, "timed out waiting for: {what}");
+        assert!(started_at.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/knowledge/src/merge.rs
+++ b/crates/knowledge/src/merge.rs
@@ -24,7 +24,7 @@
     #[error("message gives an observer's later observation a greater age than its earlier one")]
     InconsistentAges,
     #[error("message has more than {MAX_SERVERS} servers or {MAX_PEERS} peers")]
-    TooManyServers,
+    TooManyEntries,
     #[error("age, hop count or reading out of range")]
     OutOfRange,
 }
@@ -58,6 +58,7 @@
             }
             ages_by_observer.entry(origin.observer).or_default().push((origin.seq, age));
         }
+        // [`Reading::from_ratio`] limits a ratio to 1000.
         if wire.readings().any(|r| r.0 > 1_000_000) {
             return Err(MergeError::OutOfRange);
         }
--- a/crates/knowledge/src/store.rs
+++ b/crates/knowledge/src/store.rs
@@ -96,7 +96,7 @@
                 && consecutive_failures == 0
                 && known.health.is_some_and(|h| h.provenance.age(now) < HEALTH_REFRESH_INTERVAL)
             {
-                return false; // a success in a row of successes is not worth a change each time
+                return false; // repeated successes refresh the record only after this interval
             }
             let consecutive_failures = if succeeded { 0 } else { consecutive_failures.saturating_add(1) };
             let health = Health {
@@ -151,7 +151,7 @@
             return Err(MergeError::OwnMessage);
         }
         if message.servers.len() > MAX_SERVERS || message.peers.len() > MAX_PEERS {
-            return Err(MergeError::TooManyServers);
+            return Err(MergeError::TooManyEntries);
         }
         if self.last_merged.get(&message.sender).is_some_and(|seq| message.seq < *seq) {
             return Err(MergeError::StaleSequence);
--- a/crates/knowledge/src/warm_start.rs
+++ b/crates/knowledge/src/warm_start.rs
@@ -44,8 +44,8 @@
 
 /// Maximum number of known peers; further addresses are ignored.
 const MAX_KNOWN_PEERS: usize = 1_024;
-/// Random share that is added to a busy peer's retry-after delay, so that fronts refused together do not retry
-/// together.
+/// Maximum random part added to a busy peer's retry-after delay, as a share of that delay, so that fronts refused
+/// together do not retry together.
 const RETRY_JITTER: f64 = 0.5;
 
 /// Maximum number of requests for each required warm answer.
--- a/crates/knowledge/tests/messages.rs
+++ b/crates/knowledge/tests/messages.rs
@@ -92,7 +92,7 @@
     let one = full_message(&a, secs(100));
     let servers: Vec<_> = (0..MAX_SERVERS as u64 + 10).map(|id| (id, one.servers[0].1)).collect();
     let oversized = Message { servers, ..one.clone() };
-    assert_eq!(new.merge(secs(100), secs(100), 7, &oversized), Err(MergeError::TooManyServers));
+    assert_eq!(new.merge(secs(100), secs(100), 7, &oversized), Err(MergeError::TooManyEntries));
     for i in 0..4u64 {
         let servers = (0..MAX_SERVERS as u64).map(|id| (id + i * 50_000, one.servers[0].1)).collect();
         let message = Message { servers, seq: 100 + i, ..one.clone() };
--- a/crates/moves/src/coordinator.rs
+++ b/crates/moves/src/coordinator.rs
@@ -35,7 +35,7 @@
         match self.stage {
             Stage::Settled { process } | Stage::Ready { source: process, .. } => Some(process),
             Stage::Preparing { source, .. } => source,
-            Stage::Switching { target, .. } | Stage::Returning { source: target, .. } => Some(target),
+            Stage::Switching { target: p, .. } | Stage::Returning { source: p, .. } => Some(p),
             Stage::Ended => None,
         }
     }
--- a/crates/out/src/acceptor.rs
+++ b/crates/out/src/acceptor.rs
@@ -9,7 +9,8 @@
 //! - After [`recovery_time`], all leases that the acceptor may have forgotten have expired.
 //! - The acceptor becomes [`MemoryState::Current`] only when it accepts a value that it promised after that
 //!   time. The value was derived from the promises of a majority of current acceptors, so it is at least as
-//!   new as anything that the acceptor accepted before it forgot.
+//!   new as anything that the acceptor accepted before it forgot. Where too few acceptors are current, as at
+//!   the first start of a fleet, the value needs the promises of all witnesses after their recovery time.
 
 use crate::message::Message;
 use crate::types::*;
@@ -118,6 +119,7 @@
         if ballot < self.promised {
             return Message::Rejected { ballot, witness, promised: self.promised };
         }
+        // A repeated prepare message does not renew a promise of this incarnation.
         if ballot > self.promised || self.promised_at.is_none() {
             (self.promised, self.promised_at) = (ballot, Some(now));
         }
--- a/crates/out/src/driver.rs
+++ b/crates/out/src/driver.rs
@@ -45,7 +45,7 @@
     pub(crate) lease: Option<GrantedLease>,
     /// Time at which this process learnt of the current stage.
     pub(crate) stage_since: Duration,
-    /// Result of the forecast, if known.
+    /// True if the forecast of the release's effect allows it; `None` before the forecast is known.
     pub(crate) forecast_allows: Option<bool>,
     /// Detector of reasons to halt.
     pub(crate) halt_detector: HaltDetector,
@@ -107,7 +107,8 @@
         (self.stage_since, self.sent_orders) = (now, BTreeMap::new());
     }
 
-    /// Sets whether the forecast allows the release.
+    /// Sets whether the forecast of the release's effect allows it. The release does not leave
+    /// [`Stage::Planned`] before this is known.
     pub fn set_forecast(&mut self, allows: bool) {
         self.forecast_allows = Some(allows);
     }
@@ -163,7 +164,8 @@
         }
     }
 
-    /// Returns the next actions, given the fronts' reports and the membership view.
+    /// Returns the next actions, given the fronts' reports and the membership view. Reports are keyed by the
+    /// fronts' names, as in [`Subject::Front`].
     pub fn step(
         &mut self,
         now: Duration,
--- a/crates/out/src/halt_detector.rs
+++ b/crates/out/src/halt_detector.rs
@@ -10,8 +10,9 @@
 //! fronts increases, and for the same share `p` at both it is `A^nc B^nu` with `A = 1 + (p - m)(c - m)/m(1 -
 //! m)` and `B` alike with `u`, whose weighted mean is one. So the product over all blocks, and its mean over
 //! several estimates of the difference, ever exceeds `1 / error` with a probability of at most `error`
-//! (Ville's inequality). The test assumes that the requests of a block are independent and that without a
-//! change both sides have the same share, which may differ from block to block.
+//! (Ville's inequality), where `error` is the permitted probability of a false halt. The test assumes that
+//! the requests of a block are independent and that without a change both sides have the same share, which
+//! may differ from block to block.
 
 use crate::release::Plan;
 use crate::report::{FrontReport, ServiceState};
@@ -53,7 +54,7 @@
         Some(Tally { requested, served: self.served.checked_sub(before.served)?.min(requested) })
     }
 
-    /// The same with no more served requests than requests.
+    /// Tally whose served requests do not exceed its requests: a report from a front may be inconsistent.
     fn clamped(self) -> Tally {
         Tally { served: self.served.min(self.requested), ..self }
     }
@@ -75,7 +76,7 @@
     false_halt_ppm: u32,
     /// Fixed-point logarithm of the product for each of the differences.
     logs: [i64; DIFFERENCES_PERMILLE.len()],
-    /// All requests at unchanged fronts so far.
+    /// All requests at unchanged fronts in earlier blocks, from which their share is estimated.
     past: Tally,
     /// True once the evidence was sufficient.
     halts: bool,
@@ -97,6 +98,7 @@
     pub fn add_block(&mut self, paid: PaidBlock) -> bool {
         let (changed, unchanged) = (paid.changed.clamped(), paid.unchanged.clamped());
         if changed.requested > 0 && unchanged.requested > 0 {
+            // The prior of 4.5 served out of 5 requests gives an estimate before the first block.
             let past = (f64::from(self.past.served) + 4.5) / (f64::from(self.past.requested) + 5.0);
             let share = past.clamp(2.0 * MIN_SHARE, 1.0 - MIN_SHARE);
             for (log, difference) in self.logs.iter_mut().zip(DIFFERENCES_PERMILLE) {
--- a/crates/out/src/limits.rs
+++ b/crates/out/src/limits.rs
@@ -59,8 +59,8 @@
 }
 
 impl From<MemberState> for Availability {
-    fn from(sure: MemberState) -> Availability {
-        match sure {
+    fn from(state: MemberState) -> Availability {
+        match state {
             MemberState::Alive => Availability::Serving,
             MemberState::Suspect => Availability::Suspect,
             MemberState::Down => Availability::Dead,
@@ -125,7 +125,7 @@
         Subject::Front(_) => limits.fronts,
         Subject::Server(_) => limits.servers,
     };
-    let count = |is_near: &dyn Fn(&Place) -> bool| out.values().filter(|p| is_near(p)).count();
+    let count = |is_included: &dyn Fn(&Place) -> bool| out.values().filter(|p| is_included(p)).count();
     if out.len() >= max.fleet.into() {
         return Err(DenialReason::FleetLimit);
     }
--- a/crates/out/src/order.rs
+++ b/crates/out/src/order.rs
@@ -3,7 +3,7 @@
 use crate::types::Term;
 use serde::{Deserialize, Serialize};
 
-/// Text of settings or of a layout.
+/// Version of the text of settings or of a layout (which servers store which titles).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation {
     /// Increases with each new text.
@@ -17,7 +17,7 @@
 pub enum Order {
     /// Fetch the text and check it.
     Stage(Generation),
-    /// Activate the text between two steps.
+    /// Activate the text between two steps of the front, so that no step runs under two texts.
     #[serde(rename = "Take")]
     Activate(Generation),
     /// Request a permit and restart into the build.
--- a/crates/out/src/release.rs
+++ b/crates/out/src/release.rs
@@ -64,7 +64,7 @@
         /// Digest of the text.
         digest: u64,
     },
-    /// Layout, handled in the same way as settings.
+    /// Layout (which servers store which titles), handled in the same way as settings.
     Layout {
         /// Number of the text, increasing with each new one.
         generation: u64,
--- a/crates/out/src/rollout.rs
+++ b/crates/out/src/rollout.rs
@@ -126,14 +126,17 @@
         if all.values().any(|f| f.service_state == ServiceState::OutByOrder) {
             return false;
         }
-        let (at_once, order) = match (self.plan.target, self.generation()) {
+        let (max_fronts, order) = match (self.plan.target, self.generation()) {
             (ReleaseTarget::Build { build_id }, _) => {
                 (self.plan.limits.fronts.fleet.into(), Order::Restart { build_id })
             }
             (_, Some(generation)) => (MAX_REPORTS, Order::Activate(generation)),
             (_, None) => return false,
         };
-        pending.into_iter().take(at_once).for_each(|name| self.send_order(now, record, name, order, actions));
+        pending
+            .into_iter()
+            .take(max_fronts)
+            .for_each(|name| self.send_order(now, record, name, order, actions));
         false
     }
 
--- a/crates/out/src/staged_config.rs
+++ b/crates/out/src/staged_config.rs
@@ -1,4 +1,5 @@
-//! Settings and layouts at a front: staged, checked, then activated as a whole between two steps.
+//! Settings and layouts at a front: staged, checked, then activated as a whole between two steps of the front,
+//! so that no step runs under two texts.
 
 use crate::order::{FencedOrder, Generation, Order, OrderError};
 use crate::types::{ensure, InvariantViolation, ReleaseRecord, Term};
@@ -21,7 +22,7 @@
 /// Staged and active texts of a front, and its pending restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StagedConfig {
-    /// Name of the front, as a number.
+    /// Name of the front, as in [`crate::Subject::Front`].
     front: u64,
     /// Highest fencing token seen.
     fence: Term,
--- a/crates/out/tests/random.rs
+++ b/crates/out/tests/random.rs
@@ -43,13 +43,13 @@
         let (front, incarnation) = (0u64..6, 1u64..4);
         prop_oneof![
             4 => (front.clone(), incarnation.clone(), proptest::option::of(1u64..4))
-                .prop_map(|(f, l, r)| Command::Grant(f, l, r)),
-            2 => (front, incarnation.clone()).prop_map(|(f, l)| Command::ReturnPermit(f, l)),
+                .prop_map(|(f, i, r)| Command::Grant(f, i, r)),
+            2 => (front, incarnation.clone()).prop_map(|(f, i)| Command::ReturnPermit(f, i)),
             1 => (0usize..4).prop_map(Command::RemoveExpired),
             1 => (incarnation.clone(), 1u64..4, any::<bool>())
-                .prop_map(|(l, n, b)| Command::StartRelease(l, n, b)),
-            2 => (incarnation.clone(), any::<bool>()).prop_map(|(l, e)| Command::DriveRelease(l, e)),
-            4 => (incarnation, event()).prop_map(|(l, e)| Command::AdvanceRelease(l, e)),
+                .prop_map(|(i, n, b)| Command::StartRelease(i, n, b)),
+            2 => (incarnation.clone(), any::<bool>()).prop_map(|(i, e)| Command::DriveRelease(i, e)),
+            4 => (incarnation, event()).prop_map(|(i, e)| Command::AdvanceRelease(i, e)),
             1 => Just(Command::HaltRelease),
         ]
         .boxed()
