--- a/crates/decisions/src/policy/account.rs
+++ b/crates/decisions/src/policy/account.rs
@@ -26,8 +26,8 @@
     /// Number of this front's sessions at all servers at that time.
     pub(super) sessions_at_reading: f64,
     pub(super) read_at: Option<Duration>,
-    /// Least demand of the other fronts that follows from short delivery. A reading within one reporting round
-    /// does not clear it, because an intermittent link may read low in between.
+    /// Least demand of the other fronts that follows from short delivery. A reading within one reporting
+    /// round does not clear it, because an intermittent link may read low in between.
     pub(super) short_delivery: FadingValue,
     /// Time at which this front last stepped sessions down on the link or uplink.
     pub(super) last_step_down_at: Duration,
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -116,8 +116,8 @@
     actions: Vec<Action>,
     servers: BTreeMap<ServerId, Server>,
     racks: BTreeMap<u64, Rack>,
-    /// Number of this front's sessions at all servers, as the `reserved` value of an account that also records
-    /// its recent past. The other fields of the account are unused.
+    /// Number of this front's sessions at all servers, as the `reserved` value of an account that also
+    /// records its recent past. The other fields of the account are unused.
     session_count: LinkAccount,
     sessions: BTreeMap<RequestId, Session>,
     /// Times of the requests accepted within the window of the retry budget.
