--- a/crates/decisions/src/policy/account.rs
+++ b/crates/decisions/src/policy/account.rs
@@ -25,10 +25,11 @@
     pub(super) own_at_reading: f64,
     /// Number of this front's sessions at all servers at that time.
     pub(super) sessions_at_reading: f64,
-    /// Time of the last reading: when it arrived, or for a peer's reading when it was taken. `None` before the first.
+    /// Time of the last reading: when it arrived, or for a peer's reading when it was taken. `None` before
+    /// the first.
     pub(super) read_at: Option<Duration>,
-    /// Minimum demand of the other fronts, inferred from short delivery. A reading within one report interval and
-    /// delay does not clear it, because an intermittent link may read low in between.
+    /// Minimum demand of the other fronts, inferred from short delivery. A reading within one report
+    /// interval and delay does not clear it, because an intermittent link may read low in between.
     pub(super) short_delivery: FadingValue,
     /// Time at which this front last stepped sessions down on the link or uplink.
     pub(super) last_step_down_at: Duration,
@@ -82,10 +83,10 @@
         past.map_or(0.0, |p| p.1)
     }
 
-    /// Applies a reading taken `age` ago. `report_round` is one report interval and delay. A reading below the
-    /// utilization limit ends short delivery if it arrives more than `report_round` after the last report of short
-    /// delivery; otherwise the link would stay empty long after a temporary loss of capacity. A link whose capacity
-    /// varies more slowly than `report_round` is filled again in between.
+    /// Applies a reading taken `age` ago. `report_round` is one report interval and delay. A reading below
+    /// the utilization limit ends short delivery if it arrives more than `report_round` after the last
+    /// report of short delivery; otherwise the link would stay empty long after a temporary loss of
+    /// capacity. A link whose capacity varies more slowly than `report_round` is filled again in between.
     pub(super) fn apply_reading(
         &mut self,
         now: Duration,
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -23,7 +23,8 @@
 const FADE_TIME: Duration = Duration::from_secs(30);
 /// Shortest time between two steps down of one session, as in the design.
 const STEP_DOWN_INTERVAL: Duration = Duration::from_secs(30);
-/// Delivered share below which a link counts as short of capacity; servers report shares below the same bound.
+/// Delivered share below which a link counts as short of capacity; servers report shares below the same
+/// bound.
 const MIN_DELIVERED_SHARE: f64 = 0.98;
 /// Length of a time slot at a cold server, in overload windows.
 const SLOT_LENGTH_WINDOWS: f64 = 2.0;
@@ -117,8 +118,8 @@
     actions: Vec<Action>,
     servers: BTreeMap<ServerId, Server>,
     racks: BTreeMap<u64, Rack>,
-    /// Number of this front's sessions at all servers, as the `reserved` value of an account that also records
-    /// its recent past. The other fields of the account are unused.
+    /// Number of this front's sessions at all servers, as the `reserved` value of an account that also
+    /// records its recent past. The other fields of the account are unused.
     session_count: LinkAccount,
     sessions: BTreeMap<RequestId, Session>,
     /// Times of the requests accepted within the window of the retry budget.
@@ -228,8 +229,8 @@
 }
 
 /// Returns the utilization limit of each rung for a class: `MAX_UTILIZATION` up to the rung with the most
-/// worth per kB. For each rung above it, the limit is scaled down by the ratio of the worth per kB of its step
-/// to the best one, raised to `LIMIT_EXPONENT`.
+/// worth per kB. For each rung above it, the limit is scaled down by the ratio of the worth per kB of its
+/// step to the best one, raised to `LIMIT_EXPONENT`.
 fn utilization_limits(settings: &Settings, class: &Class) -> Vec<f64> {
     let mut best_density = 0.0f64;
     let mut limits = Vec::new();
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -46,7 +46,7 @@
 const MAX_EVENTS_PER_STEP: usize = 256;
 /// Interval between two maintenance runs of the connections to video servers.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after the first ping (OPTIONS) of any viewer during which viewers hand over sessions that already play.
+/// Time after the first ping (OPTIONS) of any viewer during which viewers hand over playing sessions.
 const HANDOVER_PERIOD: Duration = Duration::from_secs(10);
 
 pub(crate) type NodeCore = Core<SessionPolicy, SetupRequest, String>;
--- a/crates/node/src/event_loop/servers.rs
+++ b/crates/node/src/event_loop/servers.rs
@@ -68,15 +68,16 @@
         }
     }
 
-    /// Handles the replacement of a server's process at `replaced_at`: the sessions of the previous process are
-    /// lost. With [`Duration::MAX`] all sessions at the server and all connections to it are the previous one's.
+    /// Handles the replacement of a server's process at `replaced_at`: the sessions of the previous process
+    /// are lost. With [`Duration::MAX`] all sessions at the server and all connections to it are the
+    /// previous one's.
     pub(super) fn process_replaced(&mut self, server: ServerId, replaced_at: Duration) {
         let lost = self.end_sessions_at(server, replaced_at);
         self.links.process_replaced(server, replaced_at, &lost);
     }
 
-    /// Ends the sessions that were established at a server earlier than `before` and that the server has lost.
-    /// Returns their ids. [`Duration::MAX`] ends all sessions at the server.
+    /// Ends the sessions that were established at a server earlier than `before` and that the server has
+    /// lost. Returns their ids. [`Duration::MAX`] ends all sessions at the server.
     pub(super) fn end_sessions_at(&mut self, server: ServerId, before: Duration) -> Vec<SessionId> {
         let lost = self.registry.established_before(server, before);
         self.links.drop_queued(server);
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -11,8 +11,9 @@
 /// Time after the request to terminate during which viewers' set-ups are still accepted. Later ones are
 /// refused, so that a kill leaves none unanswered.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Deadline that the shutdown times assume for viewers. The estimated time of the kill uses this or the viewers'
-/// longest deadline, whichever is shorter; the time at which the process ends by itself uses the longer one.
+/// Deadline that the shutdown times assume for viewers. The estimated time of the kill uses this or the
+/// viewers' longest deadline, whichever is shorter; the time at which the process ends by itself uses the
+/// longer one.
 const REFERENCE_DEADLINE: Duration = Duration::from_secs(3);
 /// Time before the earliest kill at which idle connections are closed; a viewer whose set-up crosses the
 /// close sends it again.
--- a/crates/node/src/event_loop/viewers.rs
+++ b/crates/node/src/event_loop/viewers.rs
@@ -36,8 +36,8 @@
         self.receive_from(conn);
     }
 
-    /// Handles everything received from viewers so far. Each step begins with this function, so that nothing is
-    /// decided for a viewer that has left.
+    /// Handles everything received from viewers so far. Each step begins with this function, so that nothing
+    /// is decided for a viewer that has left.
     pub(super) fn receive_from_viewers(&mut self) {
         for _ in 0..self.ready_rx.len() {
             let Ok(conn) = self.ready_rx.try_recv() else { return };
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -44,7 +44,8 @@
     /// Time on `clock` after which the set-up must not be sent any more.
     pub(crate) send_deadline: Duration,
     pub(crate) clock: Clock,
-    /// Viewer waiting for the set-up, which is not sent if the viewer has left. `None` if the viewer is unknown.
+    /// Viewer waiting for the set-up, which is not sent if the viewer has left. `None` if the viewer is
+    /// unknown.
     pub(crate) waiter: Option<SetupWaiter>,
 }
 
--- a/crates/out/src/acceptor.rs
+++ b/crates/out/src/acceptor.rs
@@ -1,8 +1,8 @@
 //! Paxos acceptor of the register, the one replicated value that holds all leases: its promise, its accepted
 //! value, and the age of each lease in that value.
 //!
-//! An acceptor that starts without its persisted state has forgotten promises and values. Agreement then rests
-//! on the majority of acceptors that did not forget, and on three rules:
+//! An acceptor that starts without its persisted state has forgotten promises and values. Agreement then
+//! rests on the majority of acceptors that did not forget, and on three rules:
 //!
 //! - After [`recovery_time`], all attempts that began before the restart have ended: a proposer uses promises
 //!   for [`ROUND_TIMEOUT`] after its prepare message, and an acceptor accepts a value for [`ROUND_TIMEOUT`]
@@ -135,8 +135,9 @@
         }
     }
 
-    /// Accepts the value if this incarnation promised its ballot and the promise is still valid. Returns `None`,
-    /// that is no response, if another incarnation promised, the promise has expired or the value is invalid.
+    /// Accepts the value if this incarnation promised its ballot and the promise is still valid. Returns
+    /// `None`, that is no response, if another incarnation promised, the promise has expired or the value is
+    /// invalid.
     fn accept(
         &mut self,
         now: Duration,
@@ -163,7 +164,8 @@
         Some(Message::Accepted { ballot, witness, memory: self.memory_state(now) })
     }
 
-    /// Leases of the accepted value: bit number in `expired_leases` of [`Message::Promise`], id and hold time.
+    /// Leases of the accepted value: bit number in `expired_leases` of [`Message::Promise`], id and hold
+    /// time.
     fn leases(&self) -> impl Iterator<Item = (usize, LeaseId, Duration)> + '_ {
         let value = self.accepted.iter().map(|accepted| &accepted.1);
         let permits = value.clone().flat_map(|value| value.permits.iter().enumerate());
