--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -1,7 +1,7 @@
 //! The drill's wire: JSON lines in, JSON lines out. Translation only; nothing is decided here.
 
 use cloverhollow::*;
-use cloverhollow_platform::settings::{self, index_of, span, whole, Names};
+use cloverhollow_platform::settings::{self, duration_from_ms, index_of, whole_number, Names};
 use serde::{de::DeserializeOwned, Deserialize};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
@@ -109,7 +109,7 @@
 
 /// The clock of a `begin-batch`.
 pub fn clock(mut m: Message) -> Result<Duration, Fault> {
-    Ok(span(m.take("clock")?))
+    Ok(duration_from_ms(m.take("clock")?))
 }
 
 /// The seed and settings of a `power-on`.
@@ -142,7 +142,7 @@
                 kind: index_of(&names.kinds, &e.class_of_host).unwrap_or(0),
                 weight: e.nominal.unwrap_or(1.0),
                 state: state(&e.mode)?,
-                started: span(e.boot_time.unwrap_or(0.0)),
+                started: duration_from_ms(e.boot_time.unwrap_or(0.0)),
                 far: e.az != names.zone,
             })
         })
@@ -168,10 +168,10 @@
         title: w.programme,
         class,
         tenant: w.project.as_ref().and_then(Value::as_str).and_then(|p| index_of(&names.tenants, p)),
-        top: w.top_rung.map_or(usize::MAX, whole),
-        first_cell: whole(w.from_cell) as u64,
-        cells: whole(w.cells_in_row) as u64,
-        deadline: span(w.valid_until),
+        top: w.top_rung.map_or(usize::MAX, whole_number),
+        first_cell: whole_number(w.from_cell) as u64,
+        cells: whole_number(w.cells_in_row) as u64,
+        deadline: duration_from_ms(w.valid_until),
         again: w.came_back || w.repeat,
     })
 }
@@ -186,13 +186,13 @@
         }
         "head-received" => {
             let t: WireTold = m.body()?;
-            Event::Playing(t.request, t.hop, t.server, span(t.cost_time))
+            Event::Playing(t.request, t.hop, t.server, duration_from_ms(t.cost_time))
         }
         "note" => {
             let t: WireTold = m.body()?;
             let note = match t.kind {
                 1 => Note::Share(t.level),
-                2 => Note::Rung(whole(t.level)),
+                2 => Note::Rung(whole_number(t.level)),
                 3 => Note::Link(t.level),
                 4 => Note::Rack(t.level),
                 _ => return Ok(None),
--- a/crates/lab/src/standin/sides.rs
+++ b/crates/lab/src/standin/sides.rs
@@ -48,7 +48,7 @@
         let side = all.entry(front).or_default();
         let any = || {
             let n = side.conns.len().max(1);
-            side.conns.values().nth(permille(&line.tag) as usize % n)
+            side.conns.values().nth(permille(&line.sid) as usize % n)
         };
         let conn = side.conns.get(&own).or_else(any);
         let written = conn.is_some_and(|conn| conn.try_send(Say::Line(line.clone())).is_ok());
--- a/crates/lab/src/standin/spoilt.rs
+++ b/crates/lab/src/standin/spoilt.rs
@@ -2,7 +2,7 @@
 
 use super::sides::Say;
 use bytes::Bytes;
-use cloverhollow_platform::lines::{Line, MOST_LINE};
+use cloverhollow_platform::lines::{Line, MAX_LINE_BYTES};
 
 /// An id that nobody has asked for.
 const UNKNOWN: &str = "fffffffffffffffe";
@@ -19,7 +19,7 @@
         0 => vec![Say::Bytes(Bytes::from_static(b"\x01\x02 noise\n"))],
         1 => vec![Say::Bytes(bytes.slice(..bytes.len() / 2)), Say::Close],
         2 => vec![whole.clone(), whole],
-        3 => vec![Say::Line(Line { tag: UNKNOWN.into(), ..answer }), whole],
-        _ => vec![Say::Bytes(vec![b'x'; MOST_LINE + 1].into())],
+        3 => vec![Say::Line(Line { sid: UNKNOWN.into(), ..answer }), whole],
+        _ => vec![Say::Bytes(vec![b'x'; MAX_LINE_BYTES + 1].into())],
     }
 }
--- a/crates/node/src/channel.rs
+++ b/crates/node/src/channel.rs
@@ -5,7 +5,7 @@
 use cloverhollow_http::{RequestHead, Target};
 use cloverhollow_net::{connect, EventLines, WireError};
 use cloverhollow_platform::backoff::Backoff;
-use cloverhollow_platform::channel::{ChannelError, Directory};
+use cloverhollow_platform::channel::{ChannelError, ServerDirectory};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -64,11 +64,11 @@
         let now = *from.borrow();
         tracing::info!(channel = %begun.address, cursor = now.cursor, error = %broken, "command channel broke");
         let moved = now.address != begun.address;
-        let wait = backoff.wait(at.elapsed(), moved || now.cursor > begun.cursor);
+        let wait = backoff.next_delay(at.elapsed(), moved || now.cursor > begun.cursor);
         // Another address is asked soon, however long the wait at this one has become.
         let asked = now.address;
         if timeout(wait, changed(&mut from, |f| f.address != asked)).await.is_ok() {
-            tokio::time::sleep(backoff.wait(at.elapsed(), true)).await;
+            tokio::time::sleep(backoff.next_delay(at.elapsed(), true)).await;
         }
     }
 }
@@ -100,7 +100,7 @@
         let data = timeout(SILENT, conn.data()).await.map_err(|_| Broken::Silent)??;
         let Some(data) = data else { return Ok(()) };
         for event in lines.push(&data).map_err(Broken::Lines)? {
-            if mail.send(Mail::Told(stream, Directory::read(&event)?)).await.is_err() {
+            if mail.send(Mail::Told(stream, ServerDirectory::parse_update(&event)?)).await.is_err() {
                 return Ok(());
             }
         }
--- a/crates/node/src/desk/commands.rs
+++ b/crates/node/src/desk/commands.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Desk {
-    pub(super) fn carry_out(&mut self, command: Command<Ask, String>) {
+    pub(super) fn carry_out(&mut self, command: Command<SetupRequest, String>) {
         match command {
             Command::Send(setup) => self.send(setup),
             Command::Recall { attempt, why } => self.recall(attempt, why),
@@ -16,7 +16,7 @@
                 if let Answer::Stream { route, .. } = &answer {
                     self.look_for(&route.sid);
                 }
-                let Some((conn, sid)) = self.standing.answered(viewer, stands) else {
+                let Some((conn, sid)) = self.standing.complete_setup(viewer, stands) else {
                     // Its viewer went in this instant: nobody takes what the server has begun.
                     if let Answer::Stream { route, .. } = answer {
                         self.inputs.push(over(route.sid.clone(), OverWhy::Quit, Load::default()));
@@ -27,7 +27,7 @@
                     self.links.stands(server);
                 }
                 tracing::info!(session = %sid, conn = conn.0, answer = answer.word(), "answered");
-                let text = viewer::answer(&sid, &answer, |description| description.clone().into());
+                let text = viewer::setup_response(&sid, &answer, |description| description.clone().into());
                 self.write(conn, text);
                 match answer {
                     Answer::Stream { route, .. } => {
@@ -42,7 +42,7 @@
                 }
             }
             Command::Release { server, sid, .. } => {
-                if self.standing.is_held(&sid) {
+                if self.standing.may_be_held_by_server(&sid) {
                     self.links.tell(server, Line::finish(&sid, cause::CANCELLED));
                 }
             }
--- a/crates/node/src/desk/end.rs
+++ b/crates/node/src/desk/end.rs
@@ -47,7 +47,8 @@
         }
         self.closed_before_kill = true;
         self.hear();
-        let idle: Vec<_> = self.conns.keys().copied().filter(|c| self.standing.open_on(*c) == 0).collect();
+        let idle: Vec<_> =
+            self.conns.keys().copied().filter(|c| self.standing.pending_setups_on(*c) == 0).collect();
         idle.into_iter().for_each(|conn| self.close_now(conn, ViewerEnd::Stopping));
     }
 
--- a/crates/node/src/desk/lines.rs
+++ b/crates/node/src/desk/lines.rs
@@ -32,7 +32,7 @@
             // of the answer, which would be taken for one that nobody waits for.
             self.step();
         }
-        if let Some(server) = self.stands_with(&heard, &line.tag).filter(|server| *server != heard.server) {
+        if let Some(server) = self.stands_with(&heard, &line.sid).filter(|server| *server != heard.server) {
             self.links.heard_of(server);
         }
         let effect = match (line.verb, heard.own) {
@@ -43,7 +43,7 @@
             (Verb::Notice, _) => self.note(&heard, &line),
             (Verb::Echo, _) => {
                 // It tests that connection, no other.
-                self.links.write_on(id, &Line { rc: Some(1), ..Line::new(Verb::Echoed, &line.tag) });
+                self.links.write_on(id, &Line { cause: Some(1), ..Line::new(Verb::Echoed, &line.sid) });
                 Ok(())
             }
             // Progress and acknowledgements, and what a server has no reason to send.
@@ -56,10 +56,10 @@
 
     /// The answer to the set-up on that connection: its session stands.
     fn started(&mut self, id: LinkId, line: &Line) -> Result<(), DropReason> {
-        let Some(answer) = line.blob.clone() else {
-            tracing::info!(link = id.0, session = %line.tag, "an answer without a description is given up");
+        let Some(answer) = line.description.clone() else {
+            tracing::info!(link = id.0, session = %line.sid, "an answer without a description is given up");
             let ended = self.links.spoilt(id);
-            self.ended(ended, told::load(line));
+            self.ended(ended, server_reports::load_report(line));
             return Ok(());
         };
         let attempt = self.links.done(id).ok_or(DropReason::AttemptEnded)?;
@@ -73,40 +73,40 @@
         if heard.closing {
             return Err(DropReason::AttemptEnded);
         }
-        if self.stands_with(heard, &line.tag).is_some()
-            || self.links.out_to(heard.address, &line.tag).is_some()
+        if self.stands_with(heard, &line.sid).is_some()
+            || self.links.out_to(heard.address, &line.sid).is_some()
         {
             return Err(DropReason::BeingSetUp);
         }
-        tracing::info!(session = %line.tag, server = heard.server, "an answer that nobody waits for is given up");
-        self.links.tell(heard.server, Line::finish(&line.tag, cause::DONE));
+        tracing::info!(session = %line.sid, server = heard.server, "an answer that nobody waits for is given up");
+        self.links.tell(heard.server, Line::finish(&line.sid, cause::DONE));
         Ok(())
     }
 
     /// The set-up on that connection ends without a session.
     fn attempt_finished(&mut self, id: LinkId, line: &Line) -> Result<(), DropReason> {
-        let end = match line.rc {
+        let end = match line.cause {
             Some(cause::FULL) => AttemptEnd::Full,
-            Some(cause::MOOT) => AttemptEnd::NeverSent,
+            Some(cause::NEVER_SENT) => AttemptEnd::NeverSent,
             Some(cause::ERROR) => AttemptEnd::Error { status: cause::ERROR as u16 },
             _ => AttemptEnd::Reset,
         };
         let ended = self.links.done(id).map(|attempt| (attempt, end));
-        self.ended(ended, told::load(line));
+        self.ended(ended, server_reports::load_report(line));
         Ok(())
     }
 
     /// A session that stood is released by its server.
     fn released(&mut self, heard: &Heard, line: &Line) -> Result<(), DropReason> {
-        let cause = line.rc.unwrap_or(cause::RESET);
-        let Some(server) = self.stands_with(heard, &line.tag) else {
+        let cause = line.cause.unwrap_or(cause::RESET);
+        let Some(server) = self.stands_with(heard, &line.sid) else {
             return self.released_early(heard, line, cause);
         };
         if heard.closing && !ends_a_session(cause) {
             // It is the end of the set-up that was given up there.
             return Err(DropReason::AttemptEnded);
         }
-        self.end_session(line.tag.as_str().into(), server, cause, told::load(line));
+        self.end_session(line.sid.as_str().into(), server, cause, server_reports::load_report(line));
         Ok(())
     }
 
@@ -117,15 +117,15 @@
             cause::CANCELLED => OverWhy::Quit,
             _ => OverWhy::Lost,
         };
-        self.standing.released(server, &sid, cause);
+        self.standing.record_release(server, &sid, cause);
         self.inputs.push(over(sid, why, load));
     }
 
     /// A release of a session that does not stand with the process that spoke. It is kept where the session may be about
     /// to: its answer is under way on another connection, or it is yet to be handed over.
     fn released_early(&mut self, heard: &Heard, line: &Line, cause: i64) -> Result<(), DropReason> {
-        let (now, reason) = (self.clock.now(), self.not_standing(&line.tag));
-        let attempt = self.links.out_to(heard.address, &line.tag);
+        let (now, reason) = (self.clock.now(), self.not_standing(&line.sid));
+        let attempt = self.links.out_to(heard.address, &line.sid);
         let to_come = match reason {
             DropReason::BeingSetUp => attempt.is_some(),
             DropReason::UnknownSession => now <= self.handed_over,
@@ -134,8 +134,8 @@
         if !to_come || heard.closing || !ends_a_session(cause) {
             return Err(reason);
         }
-        tracing::info!(session = %line.tag, server = heard.server, cause, "released before it stands here");
-        self.early.keep(now, line.tag.as_str().into(), heard.address, attempt, cause);
+        tracing::info!(session = %line.sid, server = heard.server, cause, "released before it stands here");
+        self.early.insert(now, line.sid.as_str().into(), heard.address, attempt, cause);
         Ok(())
     }
 
@@ -148,13 +148,13 @@
 
     /// A note on a session that stands.
     fn note(&mut self, heard: &Heard, line: &Line) -> Result<(), DropReason> {
-        let note = told::note(line).ok_or(DropReason::Unreadable)?;
+        let note = server_reports::session_report(line).ok_or(DropReason::Unreadable)?;
         // It speaks of as long ago as notes are late.
         let at = self.clock.now().saturating_sub(self.site.settings.told_late);
         if let Some(gossip) = &mut self.gossip {
             gossip.read(at, heard.server, note);
         }
-        self.inputs.push(Input::Note { sid: line.tag.as_str().into(), note });
+        self.inputs.push(Input::Note { sid: line.sid.as_str().into(), note });
         Ok(())
     }
 
@@ -168,9 +168,9 @@
 
     /// Why a word on a session that does not stand where its server says so has no effect.
     fn not_standing(&self, sid: &str) -> DropReason {
-        if !self.standing.knows(sid) {
+        if !self.standing.contains(sid) {
             DropReason::UnknownSession
-        } else if self.standing.asked_on(sid).is_some() {
+        } else if self.standing.connection_of_pending_setup(sid).is_some() {
             DropReason::BeingSetUp
         } else {
             DropReason::StandsElsewhere
@@ -188,9 +188,9 @@
     tracing::info!(
         link = link.0,
         server,
-        session = %line.tag,
+        session = %line.sid,
         verb = ?line.verb,
-        cause = line.rc,
+        cause = line.cause,
         ?reason,
         "a server's line is dropped"
     );
--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/desk/mod.rs
@@ -21,17 +21,17 @@
 use bytes::Bytes;
 use cloverhollow::{Brain, ServerId};
 use cloverhollow_net::{unix_ms, Clock};
-use cloverhollow_platform::channel::{Directory, Told};
+use cloverhollow_platform::channel::{ChannelUpdate, ServerDirectory};
 use cloverhollow_platform::config::Config;
-use cloverhollow_platform::early::EarlyReleases;
+use cloverhollow_platform::early_releases::EarlyReleases;
 use cloverhollow_platform::lines::{cause, Line, Verb};
-use cloverhollow_platform::rtsp::{Addressee, Message, Start};
-use cloverhollow_platform::settings::Site;
-use cloverhollow_platform::standing::{ConnId, Left, Release, Standing};
-use cloverhollow_platform::told;
-use cloverhollow_platform::told_again::Unproven;
-use cloverhollow_platform::viewer::{self, Ask, Wish};
-use cloverhollow_platform::watch::{Down, LinkId, Watch};
+use cloverhollow_platform::link_monitor::{LinkEndReason, LinkId, LinkMonitor};
+use cloverhollow_platform::resend::UnacknowledgedReleases;
+use cloverhollow_platform::rtsp::{Message, ReplyTarget, StartLine};
+use cloverhollow_platform::server_reports;
+use cloverhollow_platform::session_registry::{ConnId, Release, SessionRegistry, TeardownOutcome};
+use cloverhollow_platform::settings::SiteSettings;
+use cloverhollow_platform::viewer::{self, SetupRequest, ViewerRequest};
 use cloverhollow_session::{
     enforce, Answer, AttemptEnd, AttemptId, Command, Core, Input, ListNews, Load, OverWhy, RecallWhy, Setup,
     Sid, ViewerId, WireState, BROKEN_EXIT,
@@ -48,8 +48,8 @@
 /// Sessions that play already are handed over for so long after the first test was passed.
 const HANDED_OVER: Duration = Duration::from_secs(10);
 
-pub(crate) type NodeCore = Core<Brain, Ask, String>;
-pub(crate) type In = Input<Ask, String>;
+pub(crate) type NodeCore = Core<Brain, SetupRequest, String>;
+pub(crate) type In = Input<SetupRequest, String>;
 
 /// What the desk may use.
 #[derive(Clone, Copy, Debug)]
@@ -75,14 +75,14 @@
 pub(crate) struct Desk {
     pub(crate) core: NodeCore,
     pub(crate) clock: Clock,
-    pub(crate) site: Arc<Site>,
-    pub(crate) directory: Directory,
-    pub(crate) standing: Standing,
+    pub(crate) site: Arc<SiteSettings>,
+    pub(crate) directory: ServerDirectory,
+    pub(crate) standing: SessionRegistry,
     links: Links,
     /// Releases of sessions that do not stand yet.
     early: EarlyReleases,
     /// Releases that viewers may not have read.
-    unproven: Unproven,
+    unproven: UnacknowledgedReleases,
     pub(crate) bounds: Bounds,
     pub(crate) from: watch::Sender<From>,
     conns: HashMap<ConnId, ViewerHold>,
@@ -103,8 +103,8 @@
     pub(crate) fn new(
         core: NodeCore,
         clock: Clock,
-        site: Arc<Site>,
-        watch: Watch,
+        site: Arc<SiteSettings>,
+        watch: LinkMonitor,
         bounds: Bounds,
         from: watch::Sender<From>,
         post: Post,
@@ -115,11 +115,11 @@
             core,
             clock,
             site,
-            directory: Directory::default(),
-            standing: Standing::default(),
+            directory: ServerDirectory::default(),
+            standing: SessionRegistry::default(),
             links,
             early: EarlyReleases::default(),
-            unproven: Unproven::default(),
+            unproven: UnacknowledgedReleases::default(),
             bounds,
             from,
             conns: HashMap::new(),
@@ -152,7 +152,7 @@
             }
             self.turn().await;
             if self.stopping(|stop| stop.end)
-                && self.standing.open() == 0
+                && self.standing.pending_setups() == 0
                 && mails.is_empty()
                 && self.rung.is_empty()
             {
@@ -188,8 +188,9 @@
         self.hear();
         let inputs = std::mem::take(&mut self.inputs);
         let commands = self.core.take_in(self.clock.now(), inputs);
-        let stream =
-            |c: &Command<Ask, String>| matches!(c, Command::Answer { answer: Answer::Stream { .. }, .. });
+        let stream = |c: &Command<SetupRequest, String>| {
+            matches!(c, Command::Answer { answer: Answer::Stream { .. }, .. })
+        };
         let wrote = commands.iter().any(stream);
         commands.into_iter().for_each(|command| self.carry_out(command));
         wrote
--- a/crates/node/src/desk/news.rs
+++ b/crates/node/src/desk/news.rs
@@ -4,8 +4,8 @@
 
 impl Desk {
     /// An event, and on which stream of the channel it came.
-    pub(crate) fn told(&mut self, stream: u64, told: Told) {
-        match self.directory.take(told, unix_ms()) {
+    pub(crate) fn told(&mut self, stream: u64, told: ChannelUpdate) {
+        match self.directory.apply(told, unix_ms()) {
             Ok(None) => {}
             Ok(Some(news)) => self.news(news),
             Err(error) => {
@@ -32,7 +32,7 @@
             }
         }
         if let Some(gossip) = &mut self.gossip {
-            gossip.gossip.listed(self.directory.keys());
+            gossip.gossip.set_servers(self.directory.name_digests());
         }
         self.inputs.push(Input::List(news));
     }
@@ -45,7 +45,7 @@
     /// A datagram of another session manager.
     pub(super) fn gossiped(&mut self, bytes: &[u8]) {
         let now = self.clock.now();
-        let heard = self.gossip.as_mut().map(|w| w.gossip.heard(now, bytes)).unwrap_or_default();
+        let heard = self.gossip.as_mut().map(|w| w.gossip.handle_datagram(now, bytes)).unwrap_or_default();
         self.inputs.extend(heard.into_iter().map(Input::Heard));
     }
 
--- a/crates/node/src/desk/news/tests.rs
+++ b/crates/node/src/desk/news/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::mail::MOST_MAILS;
-use cloverhollow_platform::channel::Directory;
+use cloverhollow_platform::channel::ServerDirectory;
 use cloverhollow_platform::settings;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
         let (mail, mails) = mpsc::channel(MOST_MAILS);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let core = Core::new(Brain::new(site.settings.clone(), 7), site.terms(), 7);
-        let watch = Watch::new(site.settings.told_every, site.idle_close, 8);
+        let core = Core::new(Brain::new(site.settings.clone(), 7), site.core_config(), 7);
+        let watch = LinkMonitor::new(site.settings.told_every, site.idle_close, 8);
         let bounds = Bounds { conns: 8, open: 8, open_on_one: 8, stop: STOP };
         let post = Post { mail, rung: mpsc::channel(8).1 };
         let (from, _) = watch::channel(From { address, cursor: 0, useless: 0 });
@@ -46,7 +46,7 @@
 
     fn told(&mut self, cursor: u64, status: &str, since: u64) {
         let event = event(cursor, self.listener.local_addr().unwrap(), status, since);
-        self.desk.told(1, Directory::read(&event.to_string()).unwrap());
+        self.desk.told(1, ServerDirectory::parse_update(&event.to_string()).unwrap());
         self.desk.step();
     }
 
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn a_word_of_the_list_on_the_same_process_drops_no_release_that_waits_for_it() {
     let mut rig = Rig::new().await;
-    let server = rig.desk.directory.server("a").unwrap();
+    let server = rig.desk.directory.server_id("a").unwrap();
     rig.desk.links.tell(server, Line::finish(SID, cause::CANCELLED));
     rig.told(2, "terminating", START);
     assert!(rig.first_line().await.contains(SID));
@@ -85,7 +85,7 @@
 #[tokio::test]
 async fn another_process_under_the_name_gets_no_line_about_the_one_before() {
     let mut rig = Rig::new().await;
-    let server = rig.desk.directory.server("a").unwrap();
+    let server = rig.desk.directory.server_id("a").unwrap();
     rig.desk.links.tell(server, Line::finish(SID, cause::CANCELLED));
     rig.told(2, "in_service", START + 5_000);
     rig.desk.links.tell(server, Line::finish("5c7e2d419b1f03aa", cause::CANCELLED));
@@ -97,7 +97,8 @@
 async fn what_of_a_useless_stream_still_waits_ends_no_other() {
     let mut rig = Rig::new().await;
     let at = rig.listener.local_addr().unwrap();
-    let told = |cursor| Directory::read(&event(cursor, at, "terminating", START).to_string()).unwrap();
+    let told =
+        |cursor| ServerDirectory::parse_update(&event(cursor, at, "terminating", START).to_string()).unwrap();
     rig.desk.told(3, told(5));
     let useless = |rig: &Rig| rig.desk.from.borrow().useless;
     assert_eq!((useless(&rig), rig.desk.from.borrow().cursor), (3, 1));
--- a/crates/node/src/desk/servers.rs
+++ b/crates/node/src/desk/servers.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 impl Desk {
-    pub(super) fn send(&mut self, setup: Setup<Ask>) {
+    pub(super) fn send(&mut self, setup: Setup<SetupRequest>) {
         let Setup { attempt, server, address, sid, rung, paid, within, until, ask, .. } = setup;
-        let line = Line { blob: Some(ask.blob), ..Line::new(Verb::Start, &sid) }
+        let line = Line { description: Some(ask.description), ..Line::new(Verb::Start, &sid) }
             .with("class", ask.class)
-            .with("key", ask.key)
+            .with("key", ask.title)
             .with("left", within.as_millis())
             .with("rung", rung);
         let waits = self.waits(&sid);
@@ -21,7 +21,7 @@
         }
     }
 
-    pub(super) fn down(&mut self, id: LinkId, down: Down, owed: Vec<Line>) {
+    pub(super) fn down(&mut self, id: LinkId, down: LinkEndReason, owed: Vec<Line>) {
         let ended = self.links.down(id, down, owed);
         self.ended(ended, Load::default());
     }
@@ -34,9 +34,9 @@
     /// A session that played in the core is over: its viewer is told, where it is owed that. Guards one that began to
     /// play in the instant in which its viewer went: it stands nowhere here, and its server would hold it for nobody.
     pub(super) fn over(&mut self, sid: &Sid, server: ServerId) {
-        if !self.standing.stands_at(server, sid) {
+        if !self.standing.is_established_at(server, sid) {
             self.links.tell(server, Line::finish(sid, cause::CANCELLED));
-        } else if let Some(release) = self.standing.over(sid) {
+        } else if let Some(release) = self.standing.end_session(sid) {
             self.release(release);
         }
     }
@@ -49,12 +49,12 @@
         }
         let (standing, core) = (&self.standing, &self.core);
         // Shortly before the kill what a server would say on a new connection is left to the next process.
-        let wanted = |server| !self.closed_before_kill && standing.any_at(server);
+        let wanted = |server| !self.closed_before_kill && standing.has_sessions_at(server);
         let cut = self.links.look(wanted, |server| core.list().address(server));
         cut.into_iter().for_each(|server| _ = self.cut(server, Duration::MAX));
-        if self.directory.remembers_any() {
+        if self.directory.has_departed() {
             let (standing, links) = (&self.standing, &self.links);
-            self.directory.forget(|server| standing.any_at(server) || links.uses(server));
+            self.directory.forget_departed(|server| standing.has_sessions_at(server) || links.uses(server));
         }
     }
 
@@ -66,14 +66,14 @@
 
     /// The sessions that stood at a server before that time are cut: which.
     pub(super) fn cut(&mut self, server: ServerId, before: Duration) -> Vec<Sid> {
-        let cut = self.standing.at(server, before);
+        let cut = self.standing.established_before(server, before);
         self.links.cut(server);
         if !cut.is_empty() {
             tracing::info!(server, sessions = cut.len(), "a video server has cut its sessions");
         }
         for sid in &cut {
             tracing::info!(session = %sid, server, "cut at its server");
-            self.standing.released(server, sid, cause::RESET);
+            self.standing.record_release(server, sid, cause::RESET);
             self.inputs.push(over(sid.clone(), OverWhy::Lost, Load::default()));
         }
         cut
--- a/crates/node/src/desk/viewers.rs
+++ b/crates/node/src/desk/viewers.rs
@@ -23,7 +23,7 @@
         if self.conns.len() >= self.bounds.conns {
             // What came meanwhile tells which are idle.
             self.hear();
-            match self.standing.spare(self.clock.now()) {
+            match self.standing.eviction_candidate(self.clock.now()) {
                 Some(spare) => self.close_now(spare, ViewerEnd::Evicted),
                 // Dropping the hold turns the new one away.
                 None => {
@@ -32,7 +32,7 @@
             }
         }
         self.conns.insert(conn, hold);
-        self.standing.opened(conn, self.clock.now());
+        self.standing.connection_opened(conn, self.clock.now());
         self.take_from(conn);
     }
 
@@ -55,7 +55,7 @@
                 Came::Unreadable(status, to) => Err((status, to)),
             };
             if let Err((status, to)) = refused {
-                self.write(conn, viewer::error(status, &to));
+                self.write(conn, viewer::error_response(status, &to));
                 self.turn_away(conn, came);
                 self.close_conn(conn);
                 break;
@@ -70,10 +70,13 @@
     fn turn_away(&mut self, conn: ConnId, came: VecDeque<Came>) {
         for came in came {
             let Came::Message(message) = came else { return };
-            if let Ok(Wish::Setup(setup)) = viewer::read(message, &self.site) {
-                if setup.at.is_none() && !self.standing.knows(&setup.sid) {
+            if let Ok(ViewerRequest::Setup(setup)) = viewer::parse(message, &self.site) {
+                if setup.playing_at.is_none() && !self.standing.contains(&setup.sid) {
                     tracing::info!(session = %setup.sid, conn = conn.0, "refused: its connection is being closed");
-                    self.write(conn, viewer::refusal(&setup.sid, self.site.settings.limits.hold_off));
+                    self.write(
+                        conn,
+                        viewer::refusal_response(&setup.sid, self.site.settings.limits.hold_off),
+                    );
                 }
             }
         }
@@ -81,7 +84,7 @@
 
     /// Who waits for that set-up, for its gate.
     pub(super) fn waits(&self, sid: &Sid) -> Option<Waits> {
-        let hold = self.conns.get(&self.standing.asked_on(sid)?)?;
+        let hold = self.conns.get(&self.standing.connection_of_pending_setup(sid)?)?;
         Some(Waits { viewer: hold.viewer.clone(), sid: sid.clone() })
     }
 
@@ -96,7 +99,7 @@
     /// Looks whether the viewer of a set-up has closed its connection unheard of, its close hidden behind what was not
     /// read yet.
     pub(super) fn look_for(&mut self, sid: &Sid) {
-        let Some(conn) = self.standing.asked_on(sid) else { return };
+        let Some(conn) = self.standing.connection_of_pending_setup(sid) else { return };
         if self.conns.get(&conn).is_some_and(|hold| hold.viewer.has_closed()) {
             self.close_now(conn, ViewerEnd::Closed);
         }
@@ -107,7 +110,7 @@
         if self.conns.remove(&conn).is_some() {
             tracing::info!(conn = conn.0, ?end, "a viewer's connection ended");
         }
-        for (viewer, sid) in self.standing.closed(conn) {
+        for (viewer, sid) in self.standing.connection_closed(conn) {
             self.inputs.push(Input::HungUp { viewer, sid });
         }
         self.tell_again(conn, end);
@@ -126,8 +129,8 @@
     /// Closes a connection whose stream can't be trusted. What is open on it fails: nobody can tell any more whose
     /// it is.
     pub(super) fn close_conn(&mut self, conn: ConnId) {
-        for (viewer, sid) in self.standing.closing(conn) {
-            self.write(conn, viewer::failure(&sid));
+        for (viewer, sid) in self.standing.begin_close(conn) {
+            self.write(conn, viewer::failure_response(&sid));
             self.inputs.push(Input::HungUp { viewer, sid });
         }
         if self.conns.get(&conn).is_some_and(|hold| !hold.close()) {
@@ -139,41 +142,43 @@
     ///
     /// # Errors
     /// It can't be used: whom that is told.
-    pub(super) fn message(&mut self, conn: ConnId, message: Message) -> Result<(), Addressee> {
-        self.standing.spoke(conn);
+    pub(super) fn message(&mut self, conn: ConnId, message: Message) -> Result<(), ReplyTarget> {
+        self.standing.message_received(conn);
         tracing::debug!(conn = conn.0, ?message, "asked");
-        if let (Start::Response { .. }, Some(sid)) = (&message.start, message.header("Session")) {
-            self.unproven.heard(sid);
-        }
-        match viewer::read(message, &self.site) {
-            Ok(Wish::Setup(setup)) => return self.setup(conn, *setup),
-            Ok(Wish::Teardown { sid, cseq }) => {
-                self.write(conn, viewer::heard(&cseq, Some(&sid)));
-                match self.standing.left(&sid) {
-                    Left::Asked(viewer) => self.inputs.push(Input::HungUp { viewer, sid }),
-                    Left::Stood => self.inputs.push(over(sid, OverWhy::Quit, Load::default())),
-                    Left::Unknown => {}
+        if let (StartLine::Response { .. }, Some(sid)) = (&message.start_line, message.header("Session")) {
+            self.unproven.acknowledge(sid);
+        }
+        match viewer::parse(message, &self.site) {
+            Ok(ViewerRequest::Setup(setup)) => return self.setup(conn, *setup),
+            Ok(ViewerRequest::Teardown { sid, cseq }) => {
+                self.write(conn, viewer::ok_response(&cseq, Some(&sid)));
+                match self.standing.teardown(&sid) {
+                    TeardownOutcome::PendingSetup(viewer) => self.inputs.push(Input::HungUp { viewer, sid }),
+                    TeardownOutcome::Established => {
+                        self.inputs.push(over(sid, OverWhy::Quit, Load::default()))
+                    }
+                    TeardownOutcome::Unknown => {}
                 }
             }
-            Ok(Wish::Test { cseq, sid }) => {
+            Ok(ViewerRequest::Ping { cseq, sid }) => {
                 // The first test passed begins the time in which sessions are handed over.
                 if self.handed_over == Duration::MAX {
                     self.handed_over = self.clock.now() + HANDED_OVER;
                 }
-                self.write(conn, viewer::heard(&cseq, sid.as_deref()));
+                self.write(conn, viewer::ok_response(&cseq, sid.as_deref()));
             }
-            Ok(Wish::Nothing) => {}
+            Ok(ViewerRequest::NoAction) => {}
             Err(unusable) => {
                 tracing::info!(conn = conn.0, error = %unusable, "a message that can't be used");
-                return Err(unusable.to);
+                return Err(unusable.reply_to);
             }
         }
         Ok(())
     }
 
-    fn setup(&mut self, conn: ConnId, setup: viewer::Setup) -> Result<(), Addressee> {
-        let viewer::Setup { sid, at, mut arrival } = setup;
-        let to = || Addressee { cseq: Some("1".into()), session: Some(sid.to_string()) };
+    fn setup(&mut self, conn: ConnId, setup: viewer::Setup) -> Result<(), ReplyTarget> {
+        let viewer::Setup { sid, playing_at: at, mut arrival } = setup;
+        let to = || ReplyTarget { cseq: Some("1".into()), session: Some(sid.to_string()) };
         if let Some(name) = at {
             if self.clock.now() > self.handed_over {
                 // Later than right after the start nobody hands sessions over: it would be one of no server.
@@ -183,22 +188,22 @@
             self.usual(conn);
             return Ok(());
         }
-        if self.standing.knows(&sid) {
+        if self.standing.contains(&sid) {
             // It is open or stands already: on another connection the request that has it stays untouched.
             return Err(to());
         }
-        let full = self.standing.open() >= self.bounds.open
-            || self.standing.open_on(conn) >= self.bounds.open_on_one;
+        let full = self.standing.pending_setups() >= self.bounds.open
+            || self.standing.pending_setups_on(conn) >= self.bounds.open_on_one;
         let stopping = self.stopping(|stop| stop.refuse);
         if full || stopping {
             tracing::info!(session = %sid, conn = conn.0, full, stopping, "refused at once");
-            let refusal = viewer::refusal(&sid, self.site.settings.limits.hold_off);
+            let refusal = viewer::refusal_response(&sid, self.site.settings.limits.hold_off);
             self.write(conn, refusal);
             return Ok(());
         }
         self.next_viewer += 1;
         arrival.viewer = ViewerId(self.next_viewer);
-        self.standing.ask(&sid, conn, arrival.viewer);
+        self.standing.insert_setup(&sid, conn, arrival.viewer);
         self.inputs.push(Input::Arrived(arrival));
         Ok(())
     }
@@ -208,12 +213,12 @@
         conn: ConnId,
         sid: &Sid,
         name: &str,
-        arrival: cloverhollow_session::Arrival<Ask>,
+        arrival: cloverhollow_session::Arrival<SetupRequest>,
     ) {
-        if self.standing.knows(sid) {
+        if self.standing.contains(sid) {
             return;
         }
-        let Some(server) = self.directory.server(name) else {
+        let Some(server) = self.directory.server_id(name) else {
             // What stood there is cut: its viewer comes again.
             tracing::info!(session = %sid, server = name, "handed over at a server that is not listed");
             return self.release(Release { conn, sid: sid.clone(), cause: cause::RESET });
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -6,7 +6,7 @@
 use crate::mail::Mail;
 use bytes::Bytes;
 use cloverhollow::{Note, ServerId};
-use cloverhollow_platform::gossip::{Cadence, Gossip, MOST_DATAGRAM};
+use cloverhollow_platform::gossip::{Gossip, GossipConfig, MAX_DATAGRAM_BYTES};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,22 +43,22 @@
         };
         let others: Vec<_> = peers.iter().copied().filter(|p| *p != listen).collect();
         tokio::spawn(read(socket.clone(), mail));
-        let gossip = Gossip::new(Cadence::default(), others.len(), seed ^ ROW);
+        let gossip = Gossip::new(GossipConfig::default(), others.len(), seed ^ ROW);
         Some(GossipSocket { gossip, socket, others })
     }
 
     /// A video server told its load, as it was `at` that time.
     pub(crate) fn read(&mut self, at: Duration, server: ServerId, note: Note) {
         match note {
-            Note::Link(link) => self.gossip.read(at, server, Some(link), None),
-            Note::Rack(rack) => self.gossip.read(at, server, None, Some(rack)),
+            Note::Link(link) => self.gossip.record_reading(at, server, Some(link), None),
+            Note::Rack(rack) => self.gossip.record_reading(at, server, None, Some(rack)),
             Note::Share(_) | Note::Rung(_) => {}
         }
     }
 
     /// Tells another what is due.
     pub(crate) fn tell(&mut self, now: Duration) {
-        let Some((to, bytes)) = self.gossip.due(now) else { return };
+        let Some((to, bytes)) = self.gossip.poll(now) else { return };
         if let Some(to) = self.others.get(to) {
             let _ = self.socket.try_send_to(&bytes, *to);
         }
@@ -68,7 +68,7 @@
 /// Ends with the desk. Dropping it loses nothing but what has not been read.
 async fn read(socket: Arc<UdpSocket>, mail: mpsc::Sender<Mail>) {
     // One byte more than any may have: a longer one is seen to be too long.
-    let mut buf = [0; MOST_DATAGRAM + 1];
+    let mut buf = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((n, _)) => {
--- a/crates/node/src/link/mod.rs
+++ b/crates/node/src/link/mod.rs
@@ -5,7 +5,7 @@
 use crate::mail::{gather, First, Gathered, Hold, Mail, Order, Passed};
 use bytes::{Buf, BytesMut};
 use cloverhollow_platform::lines;
-use cloverhollow_platform::watch::{Down, LinkId};
+use cloverhollow_platform::link_monitor::{LinkEndReason, LinkId};
 use lately::Lately;
 use socket2::SockRef;
 use std::io::{Cursor, ErrorKind, Read};
@@ -62,16 +62,16 @@
     orders: &mut mpsc::Receiver<Order>,
     lately: &mut Lately,
     mail: &mpsc::Sender<Mail>,
-) -> Down {
+) -> LinkEndReason {
     let id = way.id;
     let mut stream = match timeout(way.connect, TcpStream::connect(way.address)).await {
-        Err(_) => return Down::NotUp,
+        Err(_) => return LinkEndReason::ConnectTimeout,
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return made(&e),
     };
     let _ = stream.set_nodelay(true);
     if mail.send(Mail::Up(id)).await.is_err() {
-        return Down::Own;
+        return LinkEndReason::LocalError;
     }
     let mut out = Cursor::new(Vec::new());
     if let Some(first) = first {
@@ -86,9 +86,11 @@
     let mut buf = BytesMut::with_capacity(1_024);
     let end = carry(&mut stream, id, orders, &mut out, &mut buf, lately, mail).await;
     match end {
-        End::Broke if left(&stream, id, &mut buf, mail).await && buf.is_empty() => Down::Broke,
-        End::Broke | End::Unreadable => Down::Spoilt,
-        End::DeskGone => Down::Own,
+        End::Broke if left(&stream, id, &mut buf, mail).await && buf.is_empty() => {
+            LinkEndReason::Disconnected
+        }
+        End::Broke | End::Unreadable => LinkEndReason::Corrupt,
+        End::DeskGone => LinkEndReason::LocalError,
     }
 }
 
@@ -209,12 +211,14 @@
 }
 
 /// What a connection that was not made proves of the server.
-fn made(e: &std::io::Error) -> Down {
+fn made(e: &std::io::Error) -> LinkEndReason {
     match e.kind() {
-        ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => Down::Refused,
-        ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => Down::NotUp,
+        ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => LinkEndReason::Refused,
+        ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => {
+            LinkEndReason::ConnectTimeout
+        }
         // Descriptors or ports ran out here: that says nothing of the server.
-        _ => Down::Own,
+        _ => LinkEndReason::LocalError,
     }
 }
 
--- a/crates/node/src/links/ends.rs
+++ b/crates/node/src/links/ends.rs
@@ -16,7 +16,7 @@
         if link.former {
             return self.close(id, CloseReason::FormerProcess);
         }
-        self.watch.idle(self.clock.now(), link.server, id);
+        self.watch.link_idle(self.clock.now(), link.server, id);
     }
 
     fn settle(&mut self, id: LinkId) -> Option<(AttemptId, Sid)> {
@@ -34,22 +34,24 @@
     }
 
     /// A connection ended. `owed`: the releases that its server may not have read.
-    pub(crate) fn down(&mut self, id: LinkId, down: Down, owed: Vec<Line>) -> Ended {
+    pub(crate) fn down(&mut self, id: LinkId, down: LinkEndReason, owed: Vec<Line>) -> Ended {
         let attempt = self.settle(id);
         let link = self.links.remove(&id)?;
         let session = attempt.as_ref().map(|(_, sid)| &**sid);
         let (server, address, owed_lines) = (link.server, link.address, owed.len());
         tracing::info!(link = id.0, server, %address, ?down, session, owed_lines, "connection to a server ended");
-        self.watch.down(self.clock.now(), link.server, id, down);
+        self.watch.link_down(self.clock.now(), link.server, id, down);
         owed.into_iter().for_each(|line| self.tell(link.server, line));
         let (attempt, sid) = attempt?;
         let end = match down {
-            Down::Refused | Down::NotUp => AttemptEnd::NotConnected,
-            Down::Own => AttemptEnd::NeverSent,
+            LinkEndReason::Refused | LinkEndReason::ConnectTimeout => AttemptEnd::NotConnected,
+            LinkEndReason::LocalError => AttemptEnd::NeverSent,
             // The first byte had not gone out and now never will: a used connection broke under the set-up's feet.
-            Down::Broke | Down::Spoilt if link.gate.recall() => AttemptEnd::NeverSent,
-            Down::Broke => AttemptEnd::Reset,
-            Down::Spoilt => {
+            LinkEndReason::Disconnected | LinkEndReason::Corrupt if link.gate.recall() => {
+                AttemptEnd::NeverSent
+            }
+            LinkEndReason::Disconnected => AttemptEnd::Reset,
+            LinkEndReason::Corrupt => {
                 // Its session may stand already: the answer is what was spoilt.
                 self.tell(link.server, Line::finish(&sid, cause::DONE));
                 AttemptEnd::Reset
@@ -76,7 +78,7 @@
         match (unsent, up) {
             // Nothing went out on it: it is as good as before.
             (true, true) => self.rest(id),
-            (true, false) => drop(self.down(id, Down::Broke, Vec::new())),
+            (true, false) => drop(self.down(id, LinkEndReason::Disconnected, Vec::new())),
             (false, _) => self.give_up(id, &sid),
         }
         Some((attempt, if unsent { AttemptEnd::NeverSent } else { AttemptEnd::Unanswered }))
@@ -98,7 +100,7 @@
         let Some(link) = self.links.get_mut(&id) else { return };
         link.closing = true;
         tracing::info!(link = id.0, server = link.server, ?reason, "connection to a server is closed");
-        self.watch.closing(link.server, id);
+        self.watch.link_closing(link.server, id);
         if !link.hold.close(reason.linger()) && !link.hold.orders.is_closed() {
             self.links.remove(&id);
         }
--- a/crates/node/src/links/lines.rs
+++ b/crates/node/src/links/lines.rs
@@ -15,7 +15,7 @@
 
     /// A connection that is there and may carry a line.
     fn at(&self, server: ServerId) -> Option<&Link> {
-        let idle = self.watch.link(server).and_then(|id| self.links.get(&id));
+        let idle = self.watch.idle_link(server).and_then(|id| self.links.get(&id));
         let any = |l: &&Link| l.server == server && l.up && !l.closing && !l.former;
         idle.or_else(|| self.links.values().find(any))
     }
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -1,5 +1,5 @@
 //! All connections to video servers: which carries a set-up, a line, or waits; and what is proven of a set-up when
-//! its connection ends. What is believed of the servers is [`Watch`]'s; here it is put on connections.
+//! its connection ends. What is believed of the servers is [`LinkMonitor`]'s; here it is put on connections.
 
 mod ends;
 mod lines;
@@ -12,7 +12,7 @@
 use cloverhollow::ServerId;
 use cloverhollow_net::{Clock, Gate};
 use cloverhollow_platform::lines::{cause, Line};
-use cloverhollow_platform::watch::{Act, Down, LinkId, Watch};
+use cloverhollow_platform::link_monitor::{LinkAction, LinkEndReason, LinkId, LinkMonitor};
 use cloverhollow_session::{AttemptEnd, AttemptId, RecallWhy, Sid};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
 pub(crate) type Ended = Option<(AttemptId, AttemptEnd)>;
 
 pub(crate) struct Links {
-    watch: Watch,
+    watch: LinkMonitor,
     clock: Clock,
     /// How long a connection may take to be made.
     connect: Duration,
@@ -116,7 +116,7 @@
 
 impl Links {
     /// `connect`: zero: not told.
-    pub(crate) fn new(watch: Watch, clock: Clock, connect: Duration, mail: mpsc::Sender<Mail>) -> Self {
+    pub(crate) fn new(watch: LinkMonitor, clock: Clock, connect: Duration, mail: mpsc::Sender<Mail>) -> Self {
         let connect = if connect.is_zero() { CONNECT } else { connect };
         let (links, out, waiting) = (HashMap::new(), HashMap::new(), HashMap::new());
         Links { watch, clock, connect, mail, links, out, waiting, next: 0 }
@@ -124,7 +124,7 @@
 
     /// Sessions stand at that server from now on.
     pub(crate) fn stands(&mut self, server: ServerId) {
-        self.watch.stands(self.clock.now(), server);
+        self.watch.session_established(self.clock.now(), server);
     }
 
     /// Sends a set-up, on a connection that is there and may carry it, else on a new one.
@@ -132,7 +132,7 @@
         let Outgoing { attempt, server, address, sid, paid, line, until, waits } = out;
         let gate = Arc::new(Gate::default());
         let mut first = First { attempt, line, gate: gate.clone(), until, clock: self.clock, waits };
-        let used = self.watch.take(self.clock.now(), server, paid);
+        let used = self.watch.take_for_setup(self.clock.now(), server, paid);
         if let Some((id, link)) = used.and_then(|id| Some((id, self.links.get_mut(&id)?))) {
             if link.last.as_ref() != Some(&sid) {
                 match link.hold.setup(first) {
@@ -171,7 +171,7 @@
         let (up, former, closing) = (false, false, false);
         self.links
             .insert(id, Link { server, address, hold, opened, up, former, closing, attempt, last, gate });
-        self.watch.opening(server, id);
+        self.watch.link_opening(server, id);
     }
 
     pub(crate) fn up(&mut self, id: LinkId) {
@@ -179,9 +179,9 @@
         let Some(link) = self.links.get_mut(&id) else { return };
         link.up = true;
         let server = link.server;
-        self.watch.up(now, server);
+        self.watch.link_up(now, server);
         if link.attempt.is_none() {
-            self.watch.idle(now, server, id);
+            self.watch.link_idle(now, server, id);
         }
         self.flush(server);
     }
@@ -206,14 +206,14 @@
 
     /// A server was heard of by a connection that was opened under another number of its process.
     pub(crate) fn heard_of(&mut self, server: ServerId) {
-        self.watch.heard(self.clock.now(), server);
+        self.watch.message_received(self.clock.now(), server);
     }
 
     /// A line came.
     pub(crate) fn heard(&mut self, id: LinkId, line: &Line) -> Option<Heard> {
         let link = self.links.get(&id)?;
-        self.watch.heard(self.clock.now(), link.server);
-        let own = link.attempt.as_ref().is_some_and(|(_, sid)| **sid == *line.tag);
+        self.watch.message_received(self.clock.now(), link.server);
+        let own = link.attempt.as_ref().is_some_and(|(_, sid)| **sid == *line.sid);
         Some(Heard { server: link.server, address: link.address, own, closing: link.closing })
     }
 
@@ -227,16 +227,16 @@
         let late: Vec<_> = self.waiting.keys().copied().collect();
         late.into_iter().for_each(|server| self.flush(server));
         let waiting = &self.waiting;
-        let acts = self.watch.due(self.clock.now(), |s| stands(s) || waiting.contains_key(&s));
+        let acts = self.watch.poll(self.clock.now(), |s| stands(s) || waiting.contains_key(&s));
         let mut cut = Vec::new();
         for act in acts {
             match act {
-                Act::Open(server) => match address(server) {
+                LinkAction::Open(server) => match address(server) {
                     Some(address) => self.open(server, address, None, None),
                     None => cut.push(server),
                 },
-                Act::Close(id) => self.close(id, CloseReason::Idle),
-                Act::Cut(server) => cut.push(server),
+                LinkAction::Close(id) => self.close(id, CloseReason::Idle),
+                LinkAction::EndSessions(server) => cut.push(server),
             }
         }
         cut
--- a/crates/node/src/listen.rs
+++ b/crates/node/src/listen.rs
@@ -4,8 +4,8 @@
 use crate::viewer::{Bell, Came, Reply, Viewer, ViewerHold};
 use bytes::BytesMut;
 use cloverhollow_net::{linger, linger_for};
-use cloverhollow_platform::rtsp::{self, Addressee, Malformed};
-use cloverhollow_platform::standing::ConnId;
+use cloverhollow_platform::rtsp::{self, ReplyTarget};
+use cloverhollow_platform::session_registry::ConnId;
 use std::io::{Error, ErrorKind};
 use std::sync::Arc;
 use std::time::Duration;
@@ -183,7 +183,7 @@
             }
             () = sleep_until(owed.unwrap_or_else(Instant::now)), if owed.is_some() => {
                 (owed, reading) = (None, Reading::Over);
-                if !viewer.put(Came::Unreadable(400, Addressee::default())) {
+                if !viewer.put(Came::Unreadable(400, ReplyTarget::default())) {
                     return;
                 }
             }
@@ -222,8 +222,8 @@
             }
             Err(malformed) => {
                 *owed = None;
-                let status = if matches!(malformed, Malformed::TooLong(_)) { 413 } else { 400 };
-                viewer.put(Came::Unreadable(status, malformed.addressee().clone()));
+                let status = if matches!(malformed, rtsp::Error::TooLong(_)) { 413 } else { 400 };
+                viewer.put(Came::Unreadable(status, malformed.reply_target().clone()));
                 return Reading::Over;
             }
         }
--- a/crates/node/src/mail.rs
+++ b/crates/node/src/mail.rs
@@ -3,11 +3,11 @@
 use crate::viewer::{ViewerHold, Waits};
 use bytes::Bytes;
 use cloverhollow_net::{Clock, Gate};
-use cloverhollow_platform::channel::Told;
+use cloverhollow_platform::channel::ChannelUpdate;
 use cloverhollow_platform::config::Config;
 use cloverhollow_platform::lines::Line;
-use cloverhollow_platform::standing::ConnId;
-use cloverhollow_platform::watch::{Down, LinkId};
+use cloverhollow_platform::link_monitor::{LinkEndReason, LinkId};
+use cloverhollow_platform::session_registry::ConnId;
 use cloverhollow_session::AttemptId;
 use std::sync::Arc;
 use std::time::Duration;
@@ -163,9 +163,9 @@
     Line(LinkId, Line),
     /// A connection to a video server is gone or did not come up, and the releases of which it is not proven that they
     /// were read there.
-    Down(LinkId, Down, Vec<Line>),
+    Down(LinkId, LinkEndReason, Vec<Line>),
     /// An event of the command channel, and on which of its streams it came.
-    Told(u64, Told),
+    Told(u64, ChannelUpdate),
     /// A datagram of another session manager.
     Gossip(Bytes),
     /// The configuration was read again.
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -9,7 +9,7 @@
 use cloverhollow::Brain;
 use cloverhollow_net::{unix_ms, Clock};
 use cloverhollow_platform::config::{self, Config, ConfigError};
-use cloverhollow_platform::watch::Watch;
+use cloverhollow_platform::link_monitor::LinkMonitor;
 use cloverhollow_recovery::Recovered;
 use cloverhollow_session::{Core, Input};
 use std::path::{Path, PathBuf};
@@ -71,10 +71,10 @@
     println!("{{\"address\":\"{address}\"}}");
     let (mail, mails) = mpsc::channel(MOST_MAILS);
     // Each connection of viewers has one place at the most, until the desk takes it.
-    let (bell, rung) = mpsc::channel(config.room.sockets + 2 * MOST_MAILS);
+    let (bell, rung) = mpsc::channel(config.limits.sockets + 2 * MOST_MAILS);
     let (from, heard) = watch::channel(From { address: config.channel, cursor: 0, useless: 0 });
-    let Config { site, seed, room, known, name, peer_listen, peers, .. } = config;
-    for (class, effect) in &site.doubted {
+    let Config { site, seed, limits, initial_updates, name, peer_listen, peers, .. } = config;
+    for (class, effect) in &site.unknown_effects {
         tracing::warn!(class, effect, "an effect that is not known: nothing that may have run is repeated");
     }
     let clock = Clock::start();
@@ -82,11 +82,11 @@
     let ahead = Duration::from_millis(unix_ms()).saturating_sub(clock.now());
     let stop = Stop::new(site.deadlines.iter().copied().max().unwrap_or_default());
     let settings = site.settings.clone();
-    let core = Core::new(Brain::new(settings.clone(), seed), site.terms(), seed);
+    let core = Core::new(Brain::new(settings.clone(), seed), site.core_config(), seed);
     // A server where sessions stand sends a link note on one of them each `told_every`.
-    let watch = Watch::new(settings.told_every, site.idle_close, room.sockets / 8);
+    let watch = LinkMonitor::new(settings.told_every, site.idle_close, limits.sockets / 8);
     let bounds =
-        Bounds { conns: room.sockets / 2, open: room.sockets / 4, open_on_one: room.sockets / 8, stop };
+        Bounds { conns: limits.sockets / 2, open: limits.sockets / 4, open_on_one: limits.sockets / 8, stop };
     let mut desk =
         Desk::new(core, clock, Arc::new(site), watch, bounds, from, Post { mail: mail.clone(), rung });
     if let Some(listen) = peer_listen {
@@ -95,13 +95,13 @@
     desk.first(Input::Clock(ahead));
     // Nothing is kept, so an earlier life may have set up somewhere a moment ago: its turns at cold servers count as used.
     desk.first(Input::Recovered(Box::new(Recovered { known: Duration::MAX, ..Recovered::unkept() })));
-    for told in known {
+    for told in initial_updates {
         desk.told(0, told);
     }
-    tracing::info!(name, sockets = room.sockets, "session manager starts");
+    tracing::info!(name, sockets = limits.sockets, "session manager starts");
     tokio::spawn(channel::run(heard, mail.clone(), seed));
     // Those that the desk has let go of still write what is queued.
-    let most = bounds.conns + room.sockets / 16;
+    let most = bounds.conns + limits.sockets / 16;
     let places = Arc::new(Semaphore::new(most));
     tokio::spawn(listen::accept(listener, places.clone(), mail.clone(), Bell::new(bell)));
     tokio::spawn(signals(term, int, hup, file, mail));
--- a/crates/node/src/viewer.rs
+++ b/crates/node/src/viewer.rs
@@ -5,8 +5,8 @@
 //! known at the gate of the set-up however many messages of others wait for the desk.
 
 use bytes::Bytes;
-use cloverhollow_platform::rtsp::{Addressee, Message, Method, Start};
-use cloverhollow_platform::standing::ConnId;
+use cloverhollow_platform::rtsp::{Message, Method, ReplyTarget, StartLine};
+use cloverhollow_platform::session_registry::ConnId;
 use cloverhollow_session::Sid;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::collections::VecDeque;
@@ -31,7 +31,7 @@
     /// A whole message.
     Message(Message),
     /// What can't be read any further: it is owed an error with this status, and a close.
-    Unreadable(u16, Addressee),
+    Unreadable(u16, ReplyTarget),
 }
 
 #[derive(Debug, Default)]
@@ -150,7 +150,7 @@
     pub(crate) fn has_left(&self, sid: &str) -> bool {
         let gives_up = |came: &Came| match came {
             Came::Message(m) => {
-                matches!(m.start, Start::Request { method: Method::Teardown, .. })
+                matches!(m.start_line, StartLine::Request { method: Method::Teardown, .. })
                     && m.header("Session") == Some(sid)
             }
             Came::Unreadable(..) => false,
--- a/crates/node/src/viewer/tests.rs
+++ b/crates/node/src/viewer/tests.rs
@@ -4,7 +4,7 @@
 use crate::link::{self, Way};
 use crate::mail::{First, Mail, Passed, MOST_MAILS};
 use cloverhollow_net::{Clock, Gate};
-use cloverhollow_platform::watch::LinkId;
+use cloverhollow_platform::link_monitor::LinkId;
 use cloverhollow_session::AttemptId;
 use std::io::Write;
 use std::time::{Duration, Instant};
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -6,7 +6,7 @@
 const FIRST: Duration = Duration::from_millis(200);
 /// Within so long at the most, however often it was asked in vain. What it has to tell counts as told 2 s after a
 /// break.
-pub const MOST: Duration = Duration::from_millis(800);
+pub const MAX_DELAY: Duration = Duration::from_millis(800);
 
 /// Waits with full jitter: each is drawn evenly between nothing and a bound, which doubles for each stream that was of
 /// no use. Hundreds that lost one channel come back spread over the bound.
@@ -27,9 +27,9 @@
     ///
     /// Bytes alone are of no use: guards a channel that breaks after each first byte, or that tells the same event
     /// again and again that can't be taken. One that lasted past the longest wait hurts nobody by being asked anew.
-    pub fn wait(&mut self, lasted: Duration, useful: bool) -> Duration {
-        let within = if useful || lasted >= MOST { FIRST } else { self.within };
-        self.within = (within * 2).min(MOST);
+    pub fn next_delay(&mut self, lasted: Duration, useful: bool) -> Duration {
+        let within = if useful || lasted >= MAX_DELAY { FIRST } else { self.within };
+        self.within = (within * 2).min(MAX_DELAY);
         within.mul_f64(self.rng.f64())
     }
 }
--- a/crates/platform/src/channel.rs
+++ b/crates/platform/src/channel.rs
@@ -3,14 +3,14 @@
 mod directory;
 
 use cloverhollow_session::MOST_SERVERS;
-pub use directory::Directory;
+pub use directory::ServerDirectory;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// One event, as it was told.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Told {
+pub struct ChannelUpdate {
     /// Its number.
     pub cursor: u64,
     nodes: Option<Nodes>,
@@ -63,16 +63,16 @@
 pub enum ChannelError {
     #[error("no event: {0}")]
     Syntax(String),
-    #[error("event {told}: {what}")]
-    Event { told: u64, what: String },
-    #[error("event {told} after {known}")]
-    Gap { told: u64, known: u64 },
-    #[error("event {told}: more than {MOST_SERVERS} servers")]
-    TooMany { told: u64 },
-    #[error("event {told}: the weight of server `{name}` is not over 0 and up to {MOST_WEIGHT}")]
-    Weight { told: u64, name: String },
-    #[error("event {told}: the group of server `{name}` is over {MOST_GROUP}")]
-    Group { told: u64, name: String },
+    #[error("event {cursor}: {problem}")]
+    InvalidUpdate { cursor: u64, problem: String },
+    #[error("event {cursor} after {last_cursor}")]
+    Gap { cursor: u64, last_cursor: u64 },
+    #[error("event {cursor}: more than {MOST_SERVERS} servers")]
+    TooManyServers { cursor: u64 },
+    #[error("event {cursor}: the weight of server `{name}` is not over 0 and up to {MOST_WEIGHT}")]
+    Weight { cursor: u64, name: String },
+    #[error("event {cursor}: the group of server `{name}` is over {MOST_GROUP}")]
+    Group { cursor: u64, name: String },
 }
 
 /// As much of an event as its number.
@@ -84,15 +84,15 @@
 #[derive(Deserialize)]
 struct Known {
     #[serde(default)]
-    cmds: Vec<Told>,
+    cmds: Vec<ChannelUpdate>,
 }
 
-impl Directory {
+impl ServerDirectory {
     /// The events that the configuration holds.
     ///
     /// # Errors
     /// They can't be read.
-    pub fn known(value: Value) -> Result<Vec<Told>, ChannelError> {
+    pub fn parse_initial(value: Value) -> Result<Vec<ChannelUpdate>, ChannelError> {
         let known: Known = serde_json::from_value(value).map_err(|e| ChannelError::Syntax(e.to_string()))?;
         Ok(known.cmds)
     }
@@ -101,9 +101,9 @@
     ///
     /// # Errors
     /// It can't be read.
-    pub fn read(data: &str) -> Result<Told, ChannelError> {
+    pub fn parse_update(data: &str) -> Result<ChannelUpdate, ChannelError> {
         serde_json::from_str(data).map_err(|e| match serde_json::from_str(data) {
-            Ok(Numbered { cursor: told }) => ChannelError::Event { told, what: e.to_string() },
+            Ok(Numbered { cursor }) => ChannelError::InvalidUpdate { cursor, problem: e.to_string() },
             Err(_) => ChannelError::Syntax(e.to_string()),
         })
     }
--- a/crates/platform/src/channel/directory.rs
+++ b/crates/platform/src/channel/directory.rs
@@ -25,39 +25,39 @@
 /// sessions and connections may have outlived its absence. Another address is another process, and so is another start
 /// after an absence. Only a start that is told of a server that is listed keeps the number, as a new incarnation.
 #[derive(Debug, Default)]
-pub struct Directory {
+pub struct ServerDirectory {
     cursor: u64,
     begun: bool,
     next: ServerId,
     by_name: HashMap<String, Listing>,
-    /// Processes that have left, by their names, until [`Directory::forget`].
+    /// Processes that have left, by their names, until [`ServerDirectory::forget_departed`].
     left: HashMap<(String, Process), ServerId>,
 }
 
-impl Directory {
+impl ServerDirectory {
     /// Number of the last event taken in.
     pub fn cursor(&self) -> u64 {
         self.cursor
     }
 
     /// Which server bears that name.
-    pub fn server(&self, name: &str) -> Option<ServerId> {
+    pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.by_name.get(name).map(|listing| listing.id)
     }
 
     /// Whether servers that have left are still remembered.
-    pub fn remembers_any(&self) -> bool {
+    pub fn has_departed(&self) -> bool {
         !self.left.is_empty()
     }
 
     /// Forgets servers that have left and that nothing `uses` any more: their names must not pile up, and where neither a
     /// session nor a connection is left nobody can tell one process from another.
-    pub fn forget(&mut self, uses: impl Fn(ServerId) -> bool) {
+    pub fn forget_departed(&mut self, uses: impl Fn(ServerId) -> bool) {
         self.left.retain(|_, id| uses(*id));
     }
 
     /// What all session managers call each server alike: a digest of its name.
-    pub fn keys(&self) -> impl Iterator<Item = (ServerId, u64)> + '_ {
+    pub fn name_digests(&self) -> impl Iterator<Item = (ServerId, u64)> + '_ {
         self.by_name.iter().map(|(name, listing)| (listing.id, title_id(name)))
     }
 
@@ -65,13 +65,13 @@
     ///
     /// # Errors
     /// It leaves a gap, or can't be used. Nothing has changed then.
-    pub fn take(&mut self, told: Told, unix_ms: u64) -> Result<Option<ListNews>, ChannelError> {
+    pub fn apply(&mut self, told: ChannelUpdate, unix_ms: u64) -> Result<Option<ListNews>, ChannelError> {
         if self.begun && told.cursor <= self.cursor {
             return Ok(None);
         }
         let whole = !self.begun || told.nodes.as_ref().is_some_and(|n| n.snapshot);
         if !whole && told.cursor != self.cursor + 1 {
-            return Err(ChannelError::Gap { told: told.cursor, known: self.cursor });
+            return Err(ChannelError::Gap { cursor: told.cursor, last_cursor: self.cursor });
         }
         let Some(nodes) = told.nodes else {
             self.cursor = told.cursor;
@@ -92,15 +92,15 @@
     }
 
     /// Whether an event can be used, before anything changes.
-    fn check(&self, told: u64, nodes: &Nodes, whole: bool) -> Result<(), ChannelError> {
+    fn check(&self, cursor: u64, nodes: &Nodes, whole: bool) -> Result<(), ChannelError> {
         let mut there: BTreeSet<&str> =
             if whole { BTreeSet::new() } else { self.by_name.keys().map(String::as_str).collect() };
         for e in &nodes.endpoints {
             if !(e.weight > 0.0 && e.weight <= MOST_WEIGHT) {
-                return Err(ChannelError::Weight { told, name: e.name.clone() });
+                return Err(ChannelError::Weight { cursor, name: e.name.clone() });
             }
             if e.group > MOST_GROUP {
-                return Err(ChannelError::Group { told, name: e.name.clone() });
+                return Err(ChannelError::Group { cursor, name: e.name.clone() });
             }
             match e.status {
                 Status::Terminated => _ = there.remove(&*e.name),
@@ -108,7 +108,7 @@
             }
         }
         if nodes.endpoints.len() > MOST_SERVERS || there.len() > MOST_SERVERS {
-            return Err(ChannelError::TooMany { told });
+            return Err(ChannelError::TooManyServers { cursor });
         }
         Ok(())
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,14 +1,14 @@
 //! NODE_CONFIG: what the platform tells a session manager at its start, and again when it changes.
 
-use crate::channel::{Directory, Told};
-use crate::settings::{self, Site};
+use crate::channel::{ChannelUpdate, ServerDirectory};
+use crate::settings::{self, SiteSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// What a process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Room {
+pub struct ResourceLimits {
     /// Most file descriptors.
     pub sockets: usize,
 }
@@ -18,7 +18,7 @@
     name: String,
     listen: SocketAddr,
     seed: String,
-    limits: Room,
+    limits: ResourceLimits,
     channel: SocketAddr,
     known: Value,
     peer_listen: Option<SocketAddr>,
@@ -37,27 +37,27 @@
     /// Of the decisions' random numbers.
     pub seed: u64,
     /// What the process may use.
-    pub room: Room,
+    pub limits: ResourceLimits,
     /// Where the command channel is.
     pub channel: SocketAddr,
     /// What the command channel has told before the start.
-    pub known: Vec<Told>,
+    pub initial_updates: Vec<ChannelUpdate>,
     /// Where the other session managers' datagrams arrive; `None` where the settings allow none.
     pub peer_listen: Option<SocketAddr>,
     /// Where theirs arrive, by their numbers, the own among them.
     pub peers: Vec<SocketAddr>,
     /// The settings.
-    pub site: Site,
+    pub site: SiteSettings,
 }
 
 /// Why a configuration can't be used: the field, and what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {what}")]
+#[error("{field}: {problem}")]
 pub struct ConfigError {
     /// Which field; `file` for all of it.
     pub field: String,
     /// What is wrong, and what is allowed.
-    pub what: String,
+    pub problem: String,
 }
 
 /// Fewest descriptors that a session manager can work with: its own files, and a few connections of each kind.
@@ -68,7 +68,7 @@
 /// # Errors
 /// Its first fault.
 pub fn read(text: &str) -> Result<Config, ConfigError> {
-    let fault = |field: &str, what: String| ConfigError { field: field.to_owned(), what };
+    let fault = |field: &str, what: String| ConfigError { field: field.to_owned(), problem: what };
     let mut json = serde_json::Deserializer::from_str(text);
     let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
@@ -87,13 +87,13 @@
     if s.classes.is_empty() || s.ladder.is_empty() {
         return Err(fault("settings", "at least one of `grades` and of `domain.level-kb` is needed".into()));
     }
-    let known = Directory::known(raw.known).map_err(|e| fault("known", e.to_string()))?;
+    let known = ServerDirectory::parse_initial(raw.known).map_err(|e| fault("known", e.to_string()))?;
     // What the first list is made of has to be usable, as each event is later.
-    let mut list = Directory::default();
+    let mut list = ServerDirectory::default();
     for told in &known {
-        list.take(told.clone(), 0).map_err(|e| fault("known", e.to_string()))?;
+        list.apply(told.clone(), 0).map_err(|e| fault("known", e.to_string()))?;
     }
-    let (name, listen, room, channel) = (raw.name, raw.listen, raw.limits, raw.channel);
-    let (peer_listen, peers) = (raw.peer_listen.filter(|_| site.peers), raw.peers);
-    Ok(Config { name, listen, seed, room, channel, known, peer_listen, peers, site })
+    let (name, listen, limits, channel) = (raw.name, raw.listen, raw.limits, raw.channel);
+    let (peer_listen, peers) = (raw.peer_listen.filter(|_| site.peer_datagrams), raw.peers);
+    Ok(Config { name, listen, seed, limits, channel, initial_updates: known, peer_listen, peers, site })
 }
--- a/crates/platform/src/early.rs
+++ b/crates/platform/src/early_releases.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// Most of them; past that the oldest is dropped.
-pub const MOST_EARLY: usize = 4_096;
+pub const MAX_EARLY_RELEASES: usize = 4_096;
 /// So long one is kept: as long as sessions are handed over after a start, and longer than any set-up takes.
-pub const KEPT: Duration = Duration::from_secs(10);
+pub const RETENTION: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
 struct Early {
@@ -30,7 +30,7 @@
 
 impl EarlyReleases {
     /// Keeps one of the process that listens at `process`.
-    pub fn keep(
+    pub fn insert(
         &mut self,
         now: Duration,
         sid: Sid,
@@ -38,15 +38,15 @@
         attempt: Option<AttemptId>,
         cause: i64,
     ) {
-        if self.by_session.len() >= MOST_EARLY {
+        if self.by_session.len() >= MAX_EARLY_RELEASES {
             self.make_room(now);
         }
         self.by_session.insert(sid, Early { process, attempt, cause, at: now });
     }
 
     fn make_room(&mut self, now: Duration) {
-        self.by_session.retain(|_, early| early.at + KEPT > now);
-        if self.by_session.len() < MOST_EARLY {
+        self.by_session.retain(|_, early| early.at + RETENTION > now);
+        if self.by_session.len() < MAX_EARLY_RELEASES {
             return;
         }
         let oldest = self.by_session.iter().min_by_key(|(_, early)| early.at);
@@ -58,7 +58,7 @@
     /// That session stands at that process now: the cause of its release, if that has come.
     pub fn take(&mut self, now: Duration, sid: &str, process: SocketAddr) -> Option<i64> {
         let early = self.by_session.remove(sid)?;
-        (early.process == process && early.at + KEPT > now).then_some(early.cause)
+        (early.process == process && early.at + RETENTION > now).then_some(early.cause)
     }
 
     /// That attempt ended without a session: what was said of its session meanwhile says nothing of another's.
--- a/crates/platform/src/gossip.rs
+++ b/crates/platform/src/gossip.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Longest datagram that the platform lets pass.
-pub const MOST_DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Format, and a check against what was garbled on its way.
 const LEAD: usize = 1 + 2;
 /// Digest of the server, link, uplink, age.
 const ENTRY: usize = 2 + 1 + 1 + 1;
 /// Most readings of one datagram.
-const MOST: usize = (MOST_DATAGRAM - LEAD) / ENTRY;
+const MOST: usize = (MAX_DATAGRAM_BYTES - LEAD) / ENTRY;
 const FORMAT: u8 = 1;
 /// Grain of an age, ms: an octet holds up to some seconds.
 const GRAIN_MS: u128 = 40;
@@ -29,18 +29,18 @@
 
 /// When and how often it is told.
 #[derive(Clone, Copy, Debug)]
-pub struct Cadence {
+pub struct GossipConfig {
     /// Time between two datagrams.
-    pub every: Duration,
+    pub interval: Duration,
     /// One reading is told so often by one session manager.
-    pub times: u8,
+    pub max_sends: u8,
     /// What is older is not told.
-    pub oldest: Duration,
+    pub max_age: Duration,
 }
 
-impl Default for Cadence {
+impl Default for GossipConfig {
     fn default() -> Self {
-        Cadence { every: Duration::from_millis(500), times: 2, oldest: Duration::from_secs(6) }
+        GossipConfig { interval: Duration::from_millis(500), max_sends: 2, max_age: Duration::from_secs(6) }
     }
 }
 
@@ -56,7 +56,7 @@
 /// What one session manager knows and has told.
 #[derive(Debug)]
 pub struct Gossip {
-    cadence: Cadence,
+    cadence: GossipConfig,
     peers: usize,
     /// When the next datagram is due; `None`: the first time is not drawn yet.
     next: Option<Duration>,
@@ -78,7 +78,7 @@
 
 impl Gossip {
     /// `peers`: how many others there are to be told.
-    pub fn new(cadence: Cadence, peers: usize, seed: u64) -> Gossip {
+    pub fn new(cadence: GossipConfig, peers: usize, seed: u64) -> Gossip {
         let rng = fastrand::Rng::with_seed(seed);
         let (known, named, digests) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Gossip { cadence, peers, next: None, rng, known, named, digests }
@@ -86,7 +86,7 @@
 
     /// The list has changed: the servers that may be spoken of, with what all session managers call them alike.
     /// Another process of a name has another key: what was read of the one before is not told of it.
-    pub fn listed(&mut self, servers: impl Iterator<Item = (ServerId, u64)>) {
+    pub fn set_servers(&mut self, servers: impl Iterator<Item = (ServerId, u64)>) {
         self.named.clear();
         for (server, key) in servers {
             let digest = (key ^ (key >> 16) ^ (key >> 32) ^ (key >> 48)) as u16;
@@ -98,7 +98,7 @@
     }
 
     /// This session manager read a server's load itself, `at` that time.
-    pub fn read(&mut self, at: Duration, server: ServerId, link: Option<f64>, rack: Option<f64>) {
+    pub fn record_reading(&mut self, at: Duration, server: ServerId, link: Option<f64>, rack: Option<f64>) {
         let old = self.known.get(&server).copied();
         let Some(digest) = self.digests.get(&server).copied() else { return };
         // A note tells link and uplink by two lines of one instant.
@@ -109,16 +109,16 @@
     }
 
     /// Whom to tell now, by number, and what. To be asked now and then.
-    pub fn due(&mut self, now: Duration) -> Option<(usize, Vec<u8>)> {
-        let every = self.cadence.every;
+    pub fn poll(&mut self, now: Duration) -> Option<(usize, Vec<u8>)> {
+        let every = self.cadence.interval;
         // All begin at about the same time: each at a moment of its own.
         let next = *self.next.get_or_insert_with(|| now + every.mul_f64(self.rng.f64()));
         if self.peers == 0 || now < next {
             return None;
         }
         self.next = Some(now + every);
-        let Cadence { times, oldest, .. } = self.cadence;
-        let told = |k: &Known| k.told < times && now.saturating_sub(k.at) < oldest;
+        let GossipConfig { max_sends, max_age, .. } = self.cadence;
+        let told = |k: &Known| k.told < max_sends && now.saturating_sub(k.at) < max_age;
         let mut all: Vec<_> = self.known.iter().filter(|(_, k)| told(k)).map(|(s, k)| (k.at, *s)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         if all.is_empty() {
@@ -138,8 +138,8 @@
     }
 
     /// What another told: what is younger than what is known here.
-    pub fn heard(&mut self, now: Duration, bytes: &[u8]) -> Vec<Heard> {
-        let good = bytes.len() <= MOST_DATAGRAM
+    pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) -> Vec<Heard> {
+        let good = bytes.len() <= MAX_DATAGRAM_BYTES
             && bytes.len() > LEAD
             && (bytes.len() - LEAD).is_multiple_of(ENTRY)
             && bytes[0] == FORMAT
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/lines.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Longest line, its line feed included.
-pub const MOST_LINE: usize = 16 * 1024;
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
 /// What a line is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,13 +28,13 @@
 /// The value of a field: text or a number, as text.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(transparent)]
-pub struct Field(pub String);
+pub struct FieldValue(pub String);
 
-impl<'de> Deserialize<'de> for Field {
+impl<'de> Deserialize<'de> for FieldValue {
     fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         match serde_json::Value::deserialize(d)? {
-            serde_json::Value::String(s) => Ok(Field(s)),
-            serde_json::Value::Number(n) => Ok(Field(n.to_string())),
+            serde_json::Value::String(s) => Ok(FieldValue(s)),
+            serde_json::Value::Number(n) => Ok(FieldValue(n.to_string())),
             _ => Err(serde::de::Error::custom("a field that is neither text nor a number")),
         }
     }
@@ -46,38 +46,39 @@
     /// What it is.
     pub verb: Verb,
     /// The session that it concerns.
-    pub tag: String,
+    #[serde(rename = "tag")]
+    pub sid: String,
     /// Its fields.
-    #[serde(default)]
-    pub opts: BTreeMap<String, Field>,
+    #[serde(default, rename = "opts")]
+    pub fields: BTreeMap<String, FieldValue>,
     /// Its cause.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rc: Option<i64>,
+    #[serde(default, rename = "rc", skip_serializing_if = "Option::is_none")]
+    pub cause: Option<i64>,
     /// Its description.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub blob: Option<String>,
+    #[serde(default, rename = "blob", skip_serializing_if = "Option::is_none")]
+    pub description: Option<String>,
 }
 
 impl Line {
     /// A line of a session without anything else.
-    pub fn new(verb: Verb, tag: &str) -> Self {
-        Line { verb, tag: tag.to_owned(), opts: BTreeMap::new(), rc: None, blob: None }
+    pub fn new(verb: Verb, sid: &str) -> Self {
+        Line { verb, sid: sid.to_owned(), fields: BTreeMap::new(), cause: None, description: None }
     }
 
     /// Adds a field.
     pub fn with(mut self, name: &str, value: impl ToString) -> Self {
-        self.opts.insert(name.to_owned(), Field(value.to_string()));
+        self.fields.insert(name.to_owned(), FieldValue(value.to_string()));
         self
     }
 
     /// A release, or a set-up given up, for that cause.
-    pub fn finish(tag: &str, cause: i64) -> Self {
-        Line { rc: Some(cause), ..Line::new(Verb::Finish, tag) }
+    pub fn finish(sid: &str, cause: i64) -> Self {
+        Line { cause: Some(cause), ..Line::new(Verb::Finish, sid) }
     }
 
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.opts.get(name).map(|f| f.0.as_str())
+        self.fields.get(name).map(|f| f.0.as_str())
     }
 
     /// The bytes of the line.
@@ -91,25 +92,25 @@
 /// Why bytes are no line. The stream can't be trusted after it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)] // the messages say it
-pub enum BadLine {
-    #[error("a line longer than {MOST_LINE} bytes")]
+pub enum LineError {
+    #[error("a line longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
     #[error("no line of the platform: {0}")]
     Syntax(String),
 }
 
 /// Takes the first whole line off `buf`; `None`: more bytes are needed. `buf` never has to hold more than
-/// [`MOST_LINE`] bytes.
+/// [`MAX_LINE_BYTES`] bytes.
 ///
 /// # Errors
 /// It is malformed: the stream can't be trusted any more.
-pub fn decode(buf: &mut BytesMut) -> Result<Option<Line>, BadLine> {
-    let within = &buf[..buf.len().min(MOST_LINE)];
+pub fn decode(buf: &mut BytesMut) -> Result<Option<Line>, LineError> {
+    let within = &buf[..buf.len().min(MAX_LINE_BYTES)];
     let Some(end) = within.iter().position(|b| *b == b'\n') else {
-        return if buf.len() >= MOST_LINE { Err(BadLine::TooLong) } else { Ok(None) };
+        return if buf.len() >= MAX_LINE_BYTES { Err(LineError::TooLong) } else { Ok(None) };
     };
     let line = buf.split_to(end + 1);
-    serde_json::from_slice(&line).map(Some).map_err(|e| BadLine::Syntax(e.to_string()))
+    serde_json::from_slice(&line).map(Some).map_err(|e| LineError::Syntax(e.to_string()))
 }
 
 /// The causes of the platform's releases.
@@ -125,5 +126,5 @@
     /// An error.
     pub const ERROR: i64 = 47;
     /// It never left.
-    pub const MOOT: i64 = 102;
+    pub const NEVER_SENT: i64 = 102;
 }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/link_monitor.rs
@@ -41,17 +41,17 @@
 
 /// How a connection ended, or did not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum LinkEndReason {
     /// It was refused: nobody listens there.
     Refused,
     /// It did not come up in time.
-    NotUp,
+    ConnectTimeout,
     /// This process could not make it.
-    Own,
+    LocalError,
     /// It was up, and broke or was closed.
-    Broke,
+    Disconnected,
     /// It was up, and ended in what can't be read or in the middle of a line: an answer may be lost with it.
-    Spoilt,
+    Corrupt,
 }
 
 #[derive(Debug, Default)]
@@ -70,18 +70,18 @@
 
 /// What the shell is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum LinkAction {
     /// Open a connection without a set-up.
     Open(ServerId),
     /// Close a connection.
     Close(LinkId),
     /// The server's sessions are cut.
-    Cut(ServerId),
+    EndSessions(ServerId),
 }
 
 /// All servers with connections or standing sessions.
 #[derive(Debug)]
-pub struct Watch {
+pub struct LinkMonitor {
     servers: HashMap<ServerId, Server>,
     /// A server with sessions that is silent for so long is looked at by a new connection.
     silence: Duration,
@@ -91,17 +91,17 @@
     most_idle: usize,
 }
 
-impl Watch {
+impl LinkMonitor {
     /// `notes`: a server with standing sessions says something at least so often; zero: it need not. `idle_close`:
     /// servers close what is idle for so long; zero: not told, and no connection carries a second set-up.
     pub fn new(notes: Duration, idle_close: Duration, most_idle: usize) -> Self {
         let silence = if notes.is_zero() { Duration::MAX } else { notes + Duration::from_secs(1) };
-        Watch { servers: HashMap::new(), silence, stale: idle_close.mul_f64(IDLE_PART), most_idle }
+        LinkMonitor { servers: HashMap::new(), silence, stale: idle_close.mul_f64(IDLE_PART), most_idle }
     }
 
     /// The connection there that may carry a set-up, taken for it: the newest of those that are idle and not stale, if
     /// nothing speaks against the server and, for a paid one, it was heard of lately.
-    pub fn take(&mut self, now: Duration, server: ServerId, paid: bool) -> Option<LinkId> {
+    pub fn take_for_setup(&mut self, now: Duration, server: ServerId, paid: bool) -> Option<LinkId> {
         let s = self.servers.get_mut(&server)?;
         let fresh = !paid || s.heard + FRESH_PAID > now;
         if !fresh || s.refused > 0 || s.unreached.is_some() {
@@ -114,63 +114,63 @@
     }
 
     /// A connection is being made; a set-up goes on it, or it looks whether the server is there.
-    pub fn opening(&mut self, server: ServerId, link: LinkId) {
+    pub fn link_opening(&mut self, server: ServerId, link: LinkId) {
         self.servers.entry(server).or_default().links.insert(link, Use::Busy);
     }
 
     /// A connection came up.
-    pub fn up(&mut self, now: Duration, server: ServerId) {
+    pub fn link_up(&mut self, now: Duration, server: ServerId) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         (s.refused, s.unreached, s.wait) = (0, None, Duration::ZERO);
         s.heard = s.heard.max(now);
     }
 
     /// No set-up is open on it any more.
-    pub fn idle(&mut self, now: Duration, server: ServerId, link: LinkId) {
+    pub fn link_idle(&mut self, now: Duration, server: ServerId, link: LinkId) {
         if let Some(l) = self.servers.get_mut(&server).and_then(|s| s.links.get_mut(&link)) {
             *l = Use::Idle(now);
         }
     }
 
     /// Something was heard on it.
-    pub fn heard(&mut self, now: Duration, server: ServerId) {
+    pub fn message_received(&mut self, now: Duration, server: ServerId) {
         if let Some(s) = self.servers.get_mut(&server) {
             (s.heard, s.refused, s.unreached) = (now, 0, None);
         }
     }
 
     /// A connection is being closed here.
-    pub fn closing(&mut self, server: ServerId, link: LinkId) {
+    pub fn link_closing(&mut self, server: ServerId, link: LinkId) {
         if let Some(s) = self.servers.get_mut(&server) {
             s.links.remove(&link);
         }
     }
 
     /// A connection is gone or did not come up.
-    pub fn down(&mut self, now: Duration, server: ServerId, link: LinkId, down: Down) {
+    pub fn link_down(&mut self, now: Duration, server: ServerId, link: LinkId, down: LinkEndReason) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         if s.links.remove(&link).is_none() {
             return;
         }
         match down {
-            Down::Refused => s.refused += 1,
-            Down::NotUp => {
+            LinkEndReason::Refused => s.refused += 1,
+            LinkEndReason::ConnectTimeout => {
                 s.unreached.get_or_insert(now);
             }
-            Down::Own | Down::Broke | Down::Spoilt => {}
+            LinkEndReason::LocalError | LinkEndReason::Disconnected | LinkEndReason::Corrupt => {}
         }
         s.wait = (s.wait * 2).clamp(AGAIN, AGAIN_MOST);
         s.next = now + s.wait;
     }
 
     /// A link that may carry a line: the newest that is up and idle.
-    pub fn link(&self, server: ServerId) -> Option<LinkId> {
+    pub fn idle_link(&self, server: ServerId) -> Option<LinkId> {
         let links = &self.servers.get(&server)?.links;
         links.iter().rev().find(|(_, u)| matches!(u, Use::Idle(_))).map(|(id, _)| *id)
     }
 
     /// Sessions stand at that server from now on.
-    pub fn stands(&mut self, now: Duration, server: ServerId) {
+    pub fn session_established(&mut self, now: Duration, server: ServerId) {
         let s = self.servers.entry(server).or_default();
         if s.heard.is_zero() {
             s.heard = now;
@@ -178,7 +178,7 @@
     }
 
     /// What is due. `stands`: whether sessions stand at a server, or lines wait for it.
-    pub fn due(&mut self, now: Duration, stands: impl Fn(ServerId) -> bool) -> Vec<Act> {
+    pub fn poll(&mut self, now: Duration, stands: impl Fn(ServerId) -> bool) -> Vec<LinkAction> {
         let mut acts = Vec::new();
         let mut idle = Vec::new();
         for (id, s) in &mut self.servers {
@@ -192,7 +192,7 @@
                     _ => LINGER,
                 };
                 if since.saturating_add(keep) <= now {
-                    acts.push(Act::Close(*link));
+                    acts.push(LinkAction::Close(*link));
                 } else if !(stands && newest == Some(*link)) {
                     idle.push((*since, *link));
                 }
@@ -202,18 +202,18 @@
             }
             let unreached = s.unreached.is_some_and(|t| t + UNREACHED <= now && s.heard < t);
             if s.refused >= REFUSED || unreached {
-                acts.push(Act::Cut(*id));
+                acts.push(LinkAction::EndSessions(*id));
                 continue;
             }
             let busy = s.links.values().any(|u| *u == Use::Busy);
             let silent = s.heard.saturating_add(self.silence) <= now || s.unreached.is_some();
             if (newest.is_none() || silent) && !busy && s.next <= now {
-                acts.push(Act::Open(*id));
+                acts.push(LinkAction::Open(*id));
             }
         }
         idle.sort();
         let over = idle.len().saturating_sub(self.most_idle);
-        acts.extend(idle.into_iter().take(over).map(|(_, link)| Act::Close(link)));
+        acts.extend(idle.into_iter().take(over).map(|(_, link)| LinkAction::Close(link)));
         self.servers.retain(|id, s| !s.links.is_empty() || stands(*id));
         acts
     }
--- a/crates/platform/src/rtsp.rs
+++ b/crates/platform/src/rtsp.rs
@@ -4,13 +4,13 @@
 use std::fmt::Write;
 
 /// Longest message, head and description together.
-pub const MOST_MESSAGE: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 /// Most header lines of a message.
 const MOST_HEADERS: usize = 64;
 
 /// What a message asks for or answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// A request.
     Request {
         /// Its method.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its first line.
-    pub start: Start,
+    pub start_line: StartLine,
     /// Its header lines, in order.
     pub headers: Vec<(String, String)>,
     /// Its description.
@@ -80,7 +80,7 @@
 
 /// What can be told of a message that cannot be read, so that the refusal reaches whoever sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Addressee {
+pub struct ReplyTarget {
     /// Its `CSeq`.
     pub cseq: Option<String>,
     /// Its `Session`.
@@ -90,39 +90,39 @@
 /// Why bytes are no message. The stream can't be trusted after it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs)] // the messages say it
-pub enum Malformed {
-    #[error("longer than {MOST_MESSAGE} bytes")]
-    TooLong(Addressee),
-    #[error("{what}")]
-    Syntax { what: &'static str, to: Addressee },
+pub enum Error {
+    #[error("longer than {MAX_MESSAGE_BYTES} bytes")]
+    TooLong(ReplyTarget),
+    #[error("{problem}")]
+    Syntax { problem: &'static str, reply_to: ReplyTarget },
 }
 
-impl Malformed {
+impl Error {
     /// Whom to answer.
-    pub fn addressee(&self) -> &Addressee {
+    pub fn reply_target(&self) -> &ReplyTarget {
         match self {
-            Malformed::TooLong(to) | Malformed::Syntax { to, .. } => to,
+            Error::TooLong(to) | Error::Syntax { reply_to: to, .. } => to,
         }
     }
 }
 
 /// Takes the first whole message off `buf`; `None`: more bytes are needed. `buf` never has to hold more than
-/// [`MOST_MESSAGE`] bytes.
+/// [`MAX_MESSAGE_BYTES`] bytes.
 ///
 /// # Errors
 /// It is malformed: the stream can't be trusted any more.
-pub fn decode(buf: &mut BytesMut) -> Result<Option<Message>, Malformed> {
+pub fn decode(buf: &mut BytesMut) -> Result<Option<Message>, Error> {
     // Blank lines ahead of a message are passed over (RFC 2326, section 4.1).
     while let [b'\r' | b'\n', ..] = buf[..] {
         buf.advance(1);
     }
     let Some(head) = head_end(buf) else {
-        let cut = buf.len() > MOST_MESSAGE;
+        let cut = buf.len() > MAX_MESSAGE_BYTES;
         // What can't begin a message is refused at once: more bytes can't mend it.
         if cut || !may_begin(buf) {
             let what = "no RTSP message";
-            let to = Addressee::default();
-            return Err(if cut { Malformed::TooLong(to) } else { Malformed::Syntax { what, to } });
+            let to = ReplyTarget::default();
+            return Err(if cut { Error::TooLong(to) } else { Error::Syntax { problem: what, reply_to: to } });
         }
         return Ok(None);
     };
@@ -142,30 +142,30 @@
     }
     let Some(start) = start(first) else { return Err(fault("a first line that can't be read", &headers)) };
     let length = length(&headers)?;
-    if head + length > MOST_MESSAGE {
-        return Err(Malformed::TooLong(addressee(&headers)));
+    if head + length > MAX_MESSAGE_BYTES {
+        return Err(Error::TooLong(addressee(&headers)));
     }
     if buf.len() < head + length {
         return Ok(None);
     }
     let body = buf.split_to(head + length).freeze().slice(head..);
-    Ok(Some(Message { start, headers, body }))
+    Ok(Some(Message { start_line: start, headers, body }))
 }
 
-fn addressee(headers: &[(String, String)]) -> Addressee {
+fn addressee(headers: &[(String, String)]) -> ReplyTarget {
     let get = |name: &str| {
         let found = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
         found.map(|(_, v)| v.clone()).filter(|v| v.len() <= 64 && v.bytes().all(|b| b.is_ascii_graphic()))
     };
-    Addressee { cseq: get("CSeq"), session: get("Session") }
+    ReplyTarget { cseq: get("CSeq"), session: get("Session") }
 }
 
-fn fault(what: &'static str, headers: &[(String, String)]) -> Malformed {
-    Malformed::Syntax { what, to: addressee(headers) }
+fn fault(what: &'static str, headers: &[(String, String)]) -> Error {
+    Error::Syntax { problem: what, reply_to: addressee(headers) }
 }
 
 fn head_end(buf: &[u8]) -> Option<usize> {
-    let within = &buf[..buf.len().min(MOST_MESSAGE)];
+    let within = &buf[..buf.len().min(MAX_MESSAGE_BYTES)];
     let mut at = 0;
     while let Some(n) = within[at..].iter().position(|b| *b == b'\n') {
         at += n + 1;
@@ -187,20 +187,20 @@
     begins(b"RTSP/1.0 ") || Method::NAMES.iter().any(|(name, _)| begins(format!("{name} ").as_bytes()))
 }
 
-fn start(line: &str) -> Option<Start> {
+fn start(line: &str) -> Option<StartLine> {
     let mut words = line.splitn(3, ' ');
     let (first, second) = (words.next()?, words.next()?);
     let third = words.next();
     if first == "RTSP/1.0" {
         let status = second.parse().ok().filter(|s| (100..600).contains(s) && second.len() == 3)?;
-        return Some(Start::Response { status });
+        return Some(StartLine::Response { status });
     }
     let method = Method::NAMES.iter().find(|(name, _)| *name == first)?.1;
     (third == Some("RTSP/1.0") && !second.is_empty())
-        .then(|| Start::Request { method, uri: second.to_owned() })
+        .then(|| StartLine::Request { method, uri: second.to_owned() })
 }
 
-fn length(headers: &[(String, String)]) -> Result<usize, Malformed> {
+fn length(headers: &[(String, String)]) -> Result<usize, Error> {
     let mut found = headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("Content-Length"));
     let Some((_, value)) = found.next() else { return Err(fault("no Content-Length", headers)) };
     if found.next().is_some() {
@@ -241,11 +241,11 @@
 
 /// Puts a request together.
 pub fn request(method: Method, uri: &str, cseq: &str, session: &str, headers: &[(&str, String)]) -> Bytes {
-    request_with(method, uri, cseq, session, headers, b"")
+    request_with_body(method, uri, cseq, session, headers, b"")
 }
 
 /// Puts a request with a description together.
-pub fn request_with(
+pub fn request_with_body(
     method: Method,
     uri: &str,
     cseq: &str,
--- a/crates/platform/src/told.rs
+++ b/crates/platform/src/server_reports.rs
@@ -5,7 +5,7 @@
 use cloverhollow_session::Load;
 
 /// The report that a line carries.
-pub fn load(line: &Line) -> Load {
+pub fn load_report(line: &Line) -> Load {
     let mut out = Load::default();
     for part in line.field("load").unwrap_or_default().split(';') {
         let Some((name, value)) = part.split_once(':') else { continue };
@@ -20,7 +20,7 @@
 }
 
 /// What a note says.
-pub fn note(line: &Line) -> Option<Note> {
+pub fn session_report(line: &Line) -> Option<Note> {
     let value: f64 = line.field("value")?.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
     Some(match line.field("note")? {
         "kept_up" => Note::Share(value),
--- a/crates/platform/src/standing/conns.rs
+++ b/crates/platform/src/session_registry/connections.rs
@@ -5,45 +5,45 @@
 /// A connection that has said nothing for so long since it came up is a silent one.
 const SPEAKS: Duration = Duration::from_millis(250);
 
-impl Standing {
+impl SessionRegistry {
     /// A connection came up.
-    pub fn opened(&mut self, conn: ConnId, now: Duration) {
+    pub fn connection_opened(&mut self, conn: ConnId, now: Duration) {
         self.conns.insert(conn, Conn { since: now, ..Conn::default() });
     }
 
     /// A connection is gone: the set-ups open on it are given up.
-    pub fn closed(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
-        let given_up = self.closing(conn);
+    pub fn connection_closed(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+        let given_up = self.begin_close(conn);
         self.conns.remove(&conn);
         given_up
     }
 
     /// Open connections.
-    pub fn conns(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.conns.len()
     }
 
     /// Set-ups open on a connection.
-    pub fn open_on(&self, conn: ConnId) -> usize {
+    pub fn pending_setups_on(&self, conn: ConnId) -> usize {
         self.conns.get(&conn).map_or(0, |c| c.open.len())
     }
 
     /// A whole message came on it.
-    pub fn spoke(&mut self, conn: ConnId) {
+    pub fn message_received(&mut self, conn: ConnId) {
         if let Some(c) = self.conns.get_mut(&conn) {
             c.spoke = true;
         }
     }
 
     /// A usual viewer's connection: gives the releases that waited for one.
-    pub fn usual(&mut self, conn: ConnId) -> Vec<Release> {
+    pub fn mark_session_carrier(&mut self, conn: ConnId) -> Vec<Release> {
         let Some(c) = self.conns.get_mut(&conn) else { return Vec::new() };
         c.usual = true;
         self.owed.drain(..).map(|(sid, cause)| Release { conn, sid, cause }).collect()
     }
 
     /// It is being closed: the set-ups open on it are given up.
-    pub fn closing(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
+    pub fn begin_close(&mut self, conn: ConnId) -> Vec<(ViewerId, Sid)> {
         let Some(c) = self.conns.get_mut(&conn) else { return Vec::new() };
         c.closing = true;
         let open = std::mem::take(&mut c.open);
@@ -53,7 +53,7 @@
     /// Which connection to close where there are too many: one that is closing, else the oldest that never said
     /// anything though it had time to, else the oldest unusual and then usual one that is idle; never one with a
     /// set-up open. Guards new connections against going, before their first message can come, for the next ones.
-    pub fn spare(&self, now: Duration) -> Option<ConnId> {
+    pub fn eviction_candidate(&self, now: Duration) -> Option<ConnId> {
         let idle = |c: &Conn| c.open.is_empty() && (c.spoke || c.since + SPEAKS <= now);
         let first = |of: &dyn Fn(&Conn) -> bool| self.conns.iter().find(|(_, c)| of(c)).map(|(id, _)| *id);
         first(&|c| c.closing)
@@ -70,7 +70,7 @@
     }
 
     /// The connection of a set-up whose answer is owed.
-    pub fn asked_on(&self, sid: &str) -> Option<ConnId> {
+    pub fn connection_of_pending_setup(&self, sid: &str) -> Option<ConnId> {
         self.sessions.get(sid).filter(|s| matches!(s.state, State::Asked(_))).map(|s| s.conn)
     }
 }
--- a/crates/platform/src/standing/mod.rs
+++ b/crates/platform/src/session_registry/mod.rs
@@ -4,7 +4,7 @@
 //! open one that usual viewers use, else on the next. One that only ever carried a test is none of those: whoever
 //! tests closes it at once, and what is written on it then is lost.
 
-mod conns;
+mod connections;
 mod releases;
 
 use crate::lines::cause;
@@ -18,7 +18,7 @@
 pub struct ConnId(pub u64);
 
 /// Most releases that wait for a connection; past them the oldest is dropped, and its viewer finds out itself.
-pub const MOST_OWED: usize = 65_536;
+pub const MAX_PENDING_RELEASES: usize = 65_536;
 
 #[derive(Debug)]
 enum State {
@@ -69,18 +69,18 @@
 
 /// What a viewer's TEARDOWN was about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
+pub enum TeardownOutcome {
     /// A set-up that is given up.
-    Asked(ViewerId),
+    PendingSetup(ViewerId),
     /// A session that stood.
-    Stood,
+    Established,
     /// Nothing that is known.
     Unknown,
 }
 
 /// All of it.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct SessionRegistry {
     sessions: HashMap<Sid, Session>,
     asked: HashMap<ViewerId, Sid>,
     conns: BTreeMap<ConnId, Conn>,
@@ -88,24 +88,24 @@
     owed: VecDeque<(Sid, i64)>,
 }
 
-impl Standing {
+impl SessionRegistry {
     /// Set-ups whose answer is owed.
-    pub fn open(&self) -> usize {
+    pub fn pending_setups(&self) -> usize {
         self.asked.len()
     }
 
     /// Releases that wait for a connection.
-    pub fn owed(&self) -> usize {
+    pub fn pending_releases(&self) -> usize {
         self.owed.len()
     }
 
     /// Whether that id is in use.
-    pub fn knows(&self, sid: &str) -> bool {
+    pub fn contains(&self, sid: &str) -> bool {
         self.sessions.contains_key(sid)
     }
 
     /// A set-up is taken.
-    pub fn ask(&mut self, sid: &Sid, conn: ConnId, viewer: ViewerId) {
+    pub fn insert_setup(&mut self, sid: &Sid, conn: ConnId, viewer: ViewerId) {
         let session =
             Session { conn, state: State::Asked(viewer), cause: None, held: false, since: Duration::ZERO };
         self.sessions.insert(sid.clone(), session);
@@ -116,7 +116,7 @@
     }
 
     /// The final answer goes out: where, and for which session. `stands`: where it plays, and since when.
-    pub fn answered(
+    pub fn complete_setup(
         &mut self,
         viewer: ViewerId,
         stands: Option<(ServerId, Duration)>,
@@ -162,26 +162,26 @@
     }
 
     /// A viewer's TEARDOWN: it is owed nothing any more.
-    pub fn left(&mut self, sid: &Sid) -> Left {
+    pub fn teardown(&mut self, sid: &Sid) -> TeardownOutcome {
         let conn = self.sessions.get(sid).map(|s| s.conn);
         if let Some(viewer) = self.give_up(sid) {
             if let Some(c) = conn.and_then(|conn| self.conns.get_mut(&conn)) {
                 c.open.remove(sid);
             }
-            return Left::Asked(viewer);
+            return TeardownOutcome::PendingSetup(viewer);
         }
         match self.sessions.get_mut(sid) {
             Some(s) => {
                 s.cause = None;
-                Left::Stood
+                TeardownOutcome::Established
             }
-            None => Left::Unknown,
+            None => TeardownOutcome::Unknown,
         }
     }
 
     /// A server's release of a session that stands there; whether it does.
-    pub fn released(&mut self, server: ServerId, sid: &str, cause: i64) -> bool {
-        if !self.stands_at(server, sid) {
+    pub fn record_release(&mut self, server: ServerId, sid: &str, cause: i64) -> bool {
+        if !self.is_established_at(server, sid) {
             return false;
         }
         let Some(s) = self.sessions.get_mut(sid) else { return false };
@@ -191,13 +191,13 @@
     }
 
     /// Sessions that stand at a server since before that time.
-    pub fn at(&self, server: ServerId, before: Duration) -> Vec<Sid> {
+    pub fn established_before(&self, server: ServerId, before: Duration) -> Vec<Sid> {
         let older = |sid: &&Sid| self.sessions.get(*sid).is_some_and(|s| s.since < before);
         self.by_server.get(&server).into_iter().flatten().filter(older).cloned().collect()
     }
 
     /// Whether any does.
-    pub fn any_at(&self, server: ServerId) -> bool {
+    pub fn has_sessions_at(&self, server: ServerId) -> bool {
         self.by_server.contains_key(&server)
     }
 
@@ -210,12 +210,12 @@
     }
 
     /// Whether that session stands at that server.
-    pub fn stands_at(&self, server: ServerId, sid: &str) -> bool {
+    pub fn is_established_at(&self, server: ServerId, sid: &str) -> bool {
         self.server_of(sid) == Some(server)
     }
 
     /// Whether its server may still hold a session that stands.
-    pub fn is_held(&self, sid: &str) -> bool {
+    pub fn may_be_held_by_server(&self, sid: &str) -> bool {
         self.sessions.get(sid).is_some_and(|s| s.held && matches!(s.state, State::Stands(_)))
     }
 }
--- a/crates/platform/src/standing/releases.rs
+++ b/crates/platform/src/session_registry/releases.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl Standing {
+impl SessionRegistry {
     /// A session that stood is over: the release to be written now, where one is owed and a connection is open.
-    pub fn over(&mut self, sid: &Sid) -> Option<Release> {
+    pub fn end_session(&mut self, sid: &Sid) -> Option<Release> {
         let State::Stands(server) = self.sessions.get(sid)?.state else { return None };
         let s = self.sessions.remove(sid)?;
         if let Some(at) = self.by_server.get_mut(&server) {
@@ -20,12 +20,12 @@
         let own = Some(s.conn).filter(|c| self.conns.get(c).is_some_and(|c| !c.closing));
         match own {
             Some(conn) => Some(Release { conn, sid: sid.clone(), cause }),
-            None => self.place(sid, cause),
+            None => self.route_release(sid, cause),
         }
     }
 
     /// Where a release goes that can't go on its own connection; it waits if there is none.
-    pub fn place(&mut self, sid: &Sid, cause: i64) -> Option<Release> {
+    pub fn route_release(&mut self, sid: &Sid, cause: i64) -> Option<Release> {
         let usual = || self.conns.iter().rev().filter(|(_, c)| c.usual && !c.closing);
         // One without a session may be closed by its viewer in the same instant.
         let any = || usual().find(|(_, c)| c.standing > 0).or_else(|| usual().next()).map(|(id, _)| *id);
@@ -33,7 +33,7 @@
             Some(conn) => Some(Release { conn, sid: sid.clone(), cause }),
             None => {
                 self.owed.push_back((sid.clone(), cause));
-                if self.owed.len() > MOST_OWED {
+                if self.owed.len() > MAX_PENDING_RELEASES {
                     self.owed.pop_front();
                 }
                 None
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -12,12 +12,12 @@
 use wire::{WireGrade, WireSetup};
 
 /// Milliseconds as a span; nonsense becomes zero or, if huge, some thousand years.
-pub fn span(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 1e14).max(0.0) / 1e3)
 }
 
 /// A figure as a whole number; what is under zero or none is zero.
-pub fn whole(v: f64) -> usize {
+pub fn whole_number(v: f64) -> usize {
     v.max(0.0) as usize
 }
 
@@ -57,7 +57,7 @@
 
 /// What the settings say.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct SiteSettings {
     /// For the decision module.
     pub settings: Settings,
     /// The names that indices stand for.
@@ -69,16 +69,16 @@
     /// An idle connection is closed after this; zero: not told.
     pub idle_close: Duration,
     /// Session managers may send each other datagrams.
-    pub peers: bool,
+    pub peer_datagrams: bool,
     /// Classes whose effect is none of the two words that are known, with that word: none is repeated that may have run.
-    pub doubted: Vec<(String, String)>,
+    pub unknown_effects: Vec<(String, String)>,
 }
 
 /// Reads the settings of one instance.
 ///
 /// # Errors
 /// Which field is wrong, and how.
-pub fn read(value: serde_json::Value) -> Result<Site, String> {
+pub fn read(value: serde_json::Value) -> Result<SiteSettings, String> {
     let w: WireSetup =
         serde_path_to_error::deserialize(value).map_err(|e| format!("`{}`: {}", e.path(), e.inner()))?;
     w.check()?;
@@ -147,7 +147,15 @@
         kinds: w.kinds,
         zone: w.zone,
     };
-    Ok(Site { settings, names, deadlines, connect_timeout, idle_close, peers, doubted })
+    Ok(SiteSettings {
+        settings,
+        names,
+        deadlines,
+        connect_timeout,
+        idle_close,
+        peer_datagrams: peers,
+        unknown_effects: doubted,
+    })
 }
 
 /// Most sessions held: more than the video servers of a session manager this size can run.
@@ -156,9 +164,9 @@
 /// other end counts already when the request is read here.
 const MARGIN: Duration = Duration::from_millis(20);
 
-impl Site {
+impl SiteSettings {
     /// What the session core is told of them.
-    pub fn terms(&self) -> Terms {
+    pub fn core_config(&self) -> Terms {
         let s = &self.settings;
         let classes = s.classes.iter().zip(&self.deadlines);
         Terms {
--- a/crates/platform/src/settings/figures.rs
+++ b/crates/platform/src/settings/figures.rs
@@ -1,7 +1,7 @@
 //! Figures of the settings, each read as what it stands for: one that can't be used is refused where it is read, and
 //! none is taken for another.
 
-use super::span;
+use super::duration_from_ms;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 use std::time::Duration;
@@ -69,6 +69,6 @@
 
 impl<'de> Deserialize<'de> for Millis {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        within(d, "0 to 1e12 ms", |v| v >= 0.0).map(|v| Millis(span(v)))
+        within(d, "0 to 1e12 ms", |v| v >= 0.0).map(|v| Millis(duration_from_ms(v)))
     }
 }
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -1,7 +1,7 @@
 //! What a viewer's messages ask for, read and checked; and what it is answered.
 
-use crate::rtsp::{self, Message, Method, Start};
-use crate::settings::{index_of, Site};
+use crate::rtsp::{self, Message, Method, StartLine};
+use crate::settings::{index_of, SiteSettings};
 use bytes::Bytes;
 use cloverhollow_hints::{Contradictions, Faults};
 use cloverhollow_session::{Answer, Arrival, Sid, ViewerId};
@@ -15,13 +15,13 @@
 
 /// What a set-up hands on to a video server, unchanged.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SetupRequest {
     /// The class's name.
     pub class: String,
     /// The title, as the viewer wrote it.
-    pub key: String,
+    pub title: String,
     /// The description.
-    pub blob: String,
+    pub description: String,
 }
 
 /// A set-up that can be used.
@@ -30,14 +30,14 @@
     /// The session.
     pub sid: Sid,
     /// It plays already at the server of this name: no answer is owed.
-    pub at: Option<String>,
+    pub playing_at: Option<String>,
     /// For the core, but for who waits.
-    pub arrival: Arrival<Ask>,
+    pub arrival: Arrival<SetupRequest>,
 }
 
 /// What a message of a viewer asks for.
 #[derive(Debug)]
-pub enum Wish {
+pub enum ViewerRequest {
     /// A session.
     Setup(Box<Setup>),
     /// A set-up is given up, or a session released.
@@ -48,24 +48,24 @@
         cseq: String,
     },
     /// A test.
-    Test {
+    Ping {
         /// Number of the message.
         cseq: String,
         /// Its session, if it names one.
         sid: Option<String>,
     },
     /// Nothing: an answer, or a note that wants none.
-    Nothing,
+    NoAction,
 }
 
 /// Why a message can't be used, and whom that is told.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("{what}")]
-pub struct Unusable {
+#[error("{problem}")]
+pub struct InvalidRequest {
     /// What is wrong.
-    pub what: &'static str,
+    pub problem: &'static str,
     /// Whom to answer.
-    pub to: rtsp::Addressee,
+    pub reply_to: rtsp::ReplyTarget,
 }
 
 fn session_id(m: &Message) -> Option<Sid> {
@@ -83,16 +83,16 @@
 ///
 /// # Errors
 /// It can't be used: it is owed a refusal.
-pub fn read(m: Message, site: &Site) -> Result<Wish, Unusable> {
+pub fn parse(m: Message, site: &SiteSettings) -> Result<ViewerRequest, InvalidRequest> {
     let cseq = m.header("CSeq").unwrap_or_default();
     let cseq = if number(cseq, u64::MAX).is_some() { cseq.to_owned() } else { String::new() };
     let sid = session_id(&m);
-    let to = rtsp::Addressee {
+    let to = rtsp::ReplyTarget {
         cseq: (!cseq.is_empty()).then(|| cseq.clone()),
         session: sid.as_deref().map(str::to_owned),
     };
-    let fault = |what| Err(Unusable { what, to: to.clone() });
-    let Start::Request { method, uri } = &m.start else { return Ok(Wish::Nothing) };
+    let fault = |what| Err(InvalidRequest { problem: what, reply_to: to.clone() });
+    let StartLine::Request { method, uri } = &m.start_line else { return Ok(ViewerRequest::NoAction) };
     if cseq.is_empty() {
         return fault("no CSeq that is a number");
     }
@@ -103,18 +103,18 @@
         Method::Setup => {}
         Method::Teardown => {
             let Some(sid) = sid else { return fault("no session id of 16 hex digits") };
-            return Ok(Wish::Teardown { sid, cseq });
+            return Ok(ViewerRequest::Teardown { sid, cseq });
         }
-        Method::Options => return Ok(Wish::Test { cseq, sid: to.session }),
-        Method::Announce | Method::Redirect | Method::SetParameter => return Ok(Wish::Nothing),
+        Method::Options => return Ok(ViewerRequest::Ping { cseq, sid: to.session }),
+        Method::Announce | Method::Redirect | Method::SetParameter => return Ok(ViewerRequest::NoAction),
     }
     match setup(&m, uri, sid, site) {
-        Ok(setup) => Ok(Wish::Setup(Box::new(setup))),
+        Ok(setup) => Ok(ViewerRequest::Setup(Box::new(setup))),
         Err(what) => fault(what),
     }
 }
 
-fn setup(m: &Message, uri: &str, sid: Option<Sid>, site: &Site) -> Result<Setup, &'static str> {
+fn setup(m: &Message, uri: &str, sid: Option<Sid>, site: &SiteSettings) -> Result<Setup, &'static str> {
     let sid = sid.ok_or("no session id of 16 hex digits")?;
     let key = uri.rsplit('/').next().unwrap_or_default();
     let title = u64::from_str_radix(key, 16).ok().filter(|_| (1..=16).contains(&key.len()));
@@ -144,9 +144,13 @@
         underway: false,
         faults: Faults::default(),
         contradictions: Contradictions::default(),
-        ask: Ask { class: site.names.classes[class].clone(), key: key.to_owned(), blob },
+        ask: SetupRequest {
+            class: site.names.classes[class].clone(),
+            title: key.to_owned(),
+            description: blob,
+        },
     };
-    Ok(Setup { sid, at: route.at, arrival })
+    Ok(Setup { sid, playing_at: route.at, arrival })
 }
 
 /// The figures of `X-Route`.
@@ -180,39 +184,39 @@
 }
 
 /// The final answer to a set-up; `description`: of the video server, for a session that stands.
-pub fn answer<B>(sid: &str, answer: &Answer<B>, description: impl FnOnce(&B) -> Bytes) -> Bytes {
+pub fn setup_response<B>(sid: &str, answer: &Answer<B>, description: impl FnOnce(&B) -> Bytes) -> Bytes {
     match answer {
         Answer::Stream { answer, .. } => rtsp::response(200, "1", Some(sid), &[], &description(answer)),
         // Nobody follows on the platform: an id that is held already is refused before the core sees it.
         Answer::Follow(_) => rtsp::response(400, "1", Some(sid), &[], b""),
-        Answer::Refused { after, .. } => refusal(sid, *after),
+        Answer::Refused { after, .. } => refusal_response(sid, *after),
         Answer::Failed { late: true, .. } => rtsp::response(504, "1", Some(sid), &[], b""),
-        Answer::Failed { late: false, .. } => failure(sid),
+        Answer::Failed { late: false, .. } => failure_response(sid),
     }
 }
 
 /// A set-up fails, which claims nothing of whether it ran.
-pub fn failure(sid: &str) -> Bytes {
+pub fn failure_response(sid: &str) -> Bytes {
     rtsp::response(502, "1", Some(sid), &[], b"")
 }
 
 /// A refusal of a set-up of which it is proven that it never ran.
-pub fn refusal(sid: &str, after: Duration) -> Bytes {
+pub fn refusal_response(sid: &str, after: Duration) -> Bytes {
     let wait = [("Retry-After-Ms", after.as_millis().to_string())];
     rtsp::response(503, "1", Some(sid), if after.is_zero() { &[] } else { &wait }, b"")
 }
 
 /// What a message that can't be used gets. It claims nothing of any request.
-pub fn error(status: u16, to: &rtsp::Addressee) -> Bytes {
+pub fn error_response(status: u16, to: &rtsp::ReplyTarget) -> Bytes {
     rtsp::response(status, to.cseq.as_deref().unwrap_or("0"), to.session.as_deref(), &[], b"")
 }
 
 /// A release towards a viewer.
-pub fn release(sid: &str, cause: i64) -> Bytes {
+pub fn release_request(sid: &str, cause: i64) -> Bytes {
     rtsp::request(Method::Teardown, "rtsp://media/session", "2", sid, &[("Reason", format!("cause={cause}"))])
 }
 
 /// A release was heard, or a test passed.
-pub fn heard(cseq: &str, sid: Option<&str>) -> Bytes {
+pub fn ok_response(cseq: &str, sid: Option<&str>) -> Bytes {
     rtsp::response(200, cseq, sid, &[], b"")
 }
